--- a/src/libs/catalogue/backendserver.h
+++ b/src/libs/catalogue/backendserver.h
@@ -15,7 +15,7 @@
     std::string dataCentre;
     unsigned slots = 1; ///< requests that it runs at once
     bool isDraining = false; ///< takes nothing new
-    std::uint64_t bornAt = 0; ///< Unix milliseconds of its start: tells two lives under one id apart
+    std::uint64_t startedAtMs = 0; ///< Unix milliseconds of its start: tells two lives under one id apart
     std::uint64_t revision = 0; ///< of the entry
 };
 
--- a/src/libs/catalogue/configuration.cpp
+++ b/src/libs/catalogue/configuration.cpp
@@ -57,8 +57,8 @@
     const std::size_t size = m_urgencies.size();
     std::size_t place = 0;
     for (auto& [pair, urgency] : m_urgencies) {
-        const bool hasRoom = size <= urgencies;
-        urgency = static_cast<int>(hasRoom ? place : place * urgencies / size);
+        const bool hasRoom = size <= urgencyLevels;
+        urgency = static_cast<int>(hasRoom ? place : place * urgencyLevels / size);
         ++place;
     }
 }
@@ -85,8 +85,8 @@
 
 const workspace* configuration::findWorkspace(const std::string& key) const
 {
-    const auto found = keys.find(key);
-    if (found == keys.end())
+    const auto found = workspaceIndexByKey.find(key);
+    if (found == workspaceIndexByKey.end())
         return nullptr;
     return &workspaces[found->second];
 }
--- a/src/libs/catalogue/configuration.h
+++ b/src/libs/catalogue/configuration.h
@@ -73,8 +73,8 @@
 struct caller_limits {
     std::size_t headerBytes = 16384;
     std::size_t bodyBytes = 4194304;
-    utils::duration headerTime = std::chrono::seconds(3);
-    utils::duration idleTime = std::chrono::seconds(15); ///< between two requests of a connection
+    utils::duration headerTimeout = std::chrono::seconds(3);
+    utils::duration idleTimeout = std::chrono::seconds(15); ///< between two requests of a connection
 };
 
 /// A workspace: the calling team that a key belongs to.
@@ -90,7 +90,7 @@
     std::map<std::string, service> services;
     caller_limits limits;
     std::vector<workspace> workspaces;
-    std::unordered_map<std::string, std::size_t> keys; ///< index into `workspaces`
+    std::unordered_map<std::string, std::size_t> workspaceIndexByKey; ///< index into `workspaces`
     bool needsKeys = false; ///< requests need a key unless their route is public
 
     /// Builds what findRoute and urgencyOf use. To be called once routes and workspaces are complete.
@@ -100,15 +100,15 @@
     const route* findRoute(std::string_view host, std::string_view path) const;
     /// The workspace that holds the key; null when none does.
     const workspace* findWorkspace(const std::string& key) const;
-    /// The order of a request among all, 0 the most urgent, below `urgencies`: by the workspace's priority,
-    /// and by the route's own where that is the same or not given. Where one priority holds for a whole
-    /// workspace, the route's still tells its urgent work from the rest. Precondition: buildIndex() was
+    /// The order of a request among all, 0 the most urgent, below `urgencyLevels`: by the workspace's
+    /// priority, and by the route's own where that is the same or not given. Where one priority holds for a
+    /// whole workspace, the route's still tells its urgent work from the rest. Precondition: buildIndex() was
     /// called; the workspace is of this configuration, or null.
     int urgencyOf(const route& route, const workspace* workspace) const;
     /// Null when the configuration has no service of that name.
     const service* findService(const std::string& name) const;
 
-    static constexpr int urgencies = 10;
+    static constexpr int urgencyLevels = 10;
 
 private:
     /// Priority of the workspace, else of the route; and of the route.
--- a/src/libs/catalogue/serverdirectory.cpp
+++ b/src/libs/catalogue/serverdirectory.cpp
@@ -13,35 +13,36 @@
         return;
     }
     entry_state& state = m_entries[id];
-    const bool isNewLife = state.server.bornAt != entry->bornAt || state.server.address != entry->address;
-    if (isNewLife)
-        state.isDisowned = false;
+    const bool isRestart
+        = state.server.startedAtMs != entry->startedAtMs || state.server.address != entry->address;
+    if (isRestart)
+        state.hasIdentityMismatch = false;
     state.server = std::move(*entry);
-    state.dropAt.reset();
+    state.expiresAt.reset();
 }
 
-void server_directory::remove(const utils::server_id& id, utils::time_point now, bool isCertain)
+void server_directory::remove(const utils::server_id& id, utils::time_point now, bool isAuthoritative)
 {
     const auto found = m_entries.find(id);
     if (found == m_entries.end())
         return;
-    if (isCertain || !isSettling(now) || found->second.server.isDraining) {
+    if (isAuthoritative || !isSettling(now) || found->second.server.isDraining) {
         m_entries.erase(found);
         return;
     }
-    if (!found->second.dropAt)
-        found->second.dropAt = m_isStoreReachable ? m_settledAt : utils::time_point::max();
+    if (!found->second.expiresAt)
+        found->second.expiresAt = m_isStoreReachable ? m_settledAt : utils::time_point::max();
 }
 
 void server_directory::replaceAll(
-    const std::vector<backend_server>& entries, utils::time_point now, bool isCertain)
+    const std::vector<backend_server>& entries, utils::time_point now, bool isAuthoritative)
 {
     std::set<utils::server_id> present;
     for (const backend_server& entry : entries) {
         present.insert(entry.id);
         const auto found = m_entries.find(entry.id);
         if (found == m_entries.end() || found->second.server.revision != entry.revision
-            || found->second.dropAt)
+            || found->second.expiresAt)
             put(entry.id, entry, now);
     }
     std::vector<utils::server_id> missing;
@@ -50,7 +51,7 @@
             missing.push_back(id);
     }
     for (const utils::server_id& id : missing)
-        remove(id, now, isCertain);
+        remove(id, now, isAuthoritative);
 }
 
 void server_directory::setStoreReachable(bool isReachable, utils::time_point now)
@@ -62,29 +63,29 @@
         return;
     m_settledAt = now + m_settleTime;
     for (auto& [id, state] : m_entries) {
-        if (state.dropAt)
-            state.dropAt = m_settledAt;
+        if (state.expiresAt)
+            state.expiresAt = m_settledAt;
     }
 }
 
-void server_directory::disown(const utils::server_id& id)
+void server_directory::markIdentityMismatch(const utils::server_id& id)
 {
     const auto found = m_entries.find(id);
     if (found == m_entries.end())
         return;
-    found->second.isDisowned = true;
+    found->second.hasIdentityMismatch = true;
 }
 
 void server_directory::expire(utils::time_point now)
 {
-    std::erase_if(
-        m_entries, [now](const auto& entry) { return entry.second.dropAt && *entry.second.dropAt <= now; });
+    std::erase_if(m_entries,
+        [now](const auto& entry) { return entry.second.expiresAt && *entry.second.expiresAt <= now; });
 }
 
 bool server_directory::isUsable(const utils::server_id& id) const
 {
     const auto found = m_entries.find(id);
-    return found != m_entries.end() && !found->second.server.isDraining && !found->second.isDisowned;
+    return found != m_entries.end() && !found->second.server.isDraining && !found->second.hasIdentityMismatch;
 }
 
 const backend_server* server_directory::find(const utils::server_id& id) const
@@ -97,7 +98,7 @@
 {
     std::vector<const backend_server*> result;
     for (const auto& [id, state] : m_entries) {
-        if (state.server.service == service && !state.server.isDraining && !state.isDisowned)
+        if (state.server.service == service && !state.server.isDraining && !state.hasIdentityMismatch)
             result.push_back(&state.server);
     }
     return result;
@@ -107,7 +108,7 @@
 {
     std::vector<const backend_server*> result;
     for (const auto& [id, state] : m_entries) {
-        if (state.server.service == service && !state.isDisowned && !state.dropAt)
+        if (state.server.service == service && !state.hasIdentityMismatch && !state.expiresAt)
             result.push_back(&state.server);
     }
     return result;
@@ -117,7 +118,7 @@
 {
     std::vector<utils::server_id> result;
     for (const auto& [id, state] : m_entries) {
-        if (state.dropAt)
+        if (state.expiresAt)
             result.push_back(id);
     }
     return result;
@@ -125,8 +126,9 @@
 
 std::size_t server_directory::usableCount() const
 {
-    return static_cast<std::size_t>(std::ranges::count_if(m_entries,
-        [](const auto& entry) { return !entry.second.server.isDraining && !entry.second.isDisowned; }));
+    return static_cast<std::size_t>(std::ranges::count_if(m_entries, [](const auto& entry) {
+        return !entry.second.server.isDraining && !entry.second.hasIdentityMismatch;
+    }));
 }
 
 bool server_directory::isSettling(utils::time_point now) const
@@ -134,12 +136,12 @@
     return !m_isStoreReachable || now < m_settledAt;
 }
 
-utils::duration server_directory::settlesIn(utils::time_point now) const
+utils::duration server_directory::remainingSettleTime(utils::time_point now) const
 {
     return m_isStoreReachable ? std::max(utils::duration::zero(), m_settledAt - now) : m_settleTime;
 }
 
-void server_directory::settleFor(utils::duration time, utils::time_point now)
+void server_directory::extendSettling(utils::duration time, utils::time_point now)
 {
     m_settledAt = std::max(m_settledAt, now + std::min(time, m_settleTime));
 }
--- a/src/libs/catalogue/serverdirectory.h
+++ b/src/libs/catalogue/serverdirectory.h
@@ -27,22 +27,22 @@
     /// An entry was written. An unusable entry is passed as nothing: it names no server, but it ends the one
     /// that had the id.
     void put(const utils::server_id& id, std::optional<backend_server> entry, utils::time_point now);
-    /// An entry was removed. `isCertain`: a node that the store serves and that has settled says so; the
-    /// entry did not lapse for an outage then.
-    void remove(const utils::server_id& id, utils::time_point now, bool isCertain = false);
-    /// Replaces everything by what the store holds now; `isCertain` as above.
+    /// An entry was removed. `isAuthoritative`: a node that the store serves and that has settled says so;
+    /// the entry did not lapse for an outage then.
+    void remove(const utils::server_id& id, utils::time_point now, bool isAuthoritative = false);
+    /// Replaces everything by what the store holds now; `isAuthoritative` as above.
     void replaceAll(
-        const std::vector<backend_server>& entries, utils::time_point now, bool isCertain = false);
+        const std::vector<backend_server>& entries, utils::time_point now, bool isAuthoritative = false);
     /// Whether entries that go missing now may have lapsed for an outage.
     bool isSettling(utils::time_point now) const;
     /// For how long they may, as far as is known; zero when settled.
-    utils::duration settlesIn(utils::time_point now) const;
+    utils::duration remainingSettleTime(utils::time_point now) const;
     /// A node that the store serves says that entries may be missing for that long yet.
-    void settleFor(utils::duration time, utils::time_point now);
+    void extendSettling(utils::duration time, utils::time_point now);
     /// The store is away, or back.
     void setStoreReachable(bool isReachable, utils::time_point now);
     /// The server itself said that it is another one: not used until its entry changes.
-    void disown(const utils::server_id& id);
+    void markIdentityMismatch(const utils::server_id& id);
     /// Drops what did not come back in time.
     void expire(utils::time_point now);
 
@@ -63,8 +63,8 @@
 private:
     struct entry_state {
         backend_server server;
-        bool isDisowned = false;
-        std::optional<utils::time_point> dropAt; ///< lapsed, and gone for good then
+        bool hasIdentityMismatch = false;
+        std::optional<utils::time_point> expiresAt; ///< lapsed, and gone for good then
     };
 
     utils::duration m_settleTime;
--- a/src/libs/gateway/answerrelay.h
+++ b/src/libs/gateway/answerrelay.h
@@ -78,7 +78,7 @@
             m_context.loads.told(server, answer.load->running, answer.load->waiting, now());
         if (answer.isNotExecuted) {
             if (answer.status == misdirected)
-                m_context.servers.disown(server);
+                m_context.servers.markIdentityMismatch(server);
             std::string unused;
             co_await readShort(*connection, unused);
             co_return attempt_end::NotRun;
--- a/src/libs/gateway/callerconnection.cpp
+++ b/src/libs/gateway/callerconnection.cpp
@@ -47,7 +47,7 @@
     m_isTimeUp = false;
     if (m_received.empty()) {
         m_isIdle = true;
-        limitWait(limits.idleTime);
+        limitWait(limits.idleTimeout);
         const error_code error = co_await receive();
         m_isIdle = false;
         if (error) {
@@ -56,7 +56,7 @@
         }
     }
     const utils::time_point arrivedAt = now();
-    limitWait(limits.headerTime);
+    limitWait(limits.headerTimeout);
     read_outcome outcome = co_await readHead(limits);
     endWait();
     outcome.arrivedAt = arrivedAt;
@@ -89,7 +89,7 @@
         outcome.detail = toString(fault);
         co_return outcome;
     }
-    limitWait(limits.headerTime + bodyTime);
+    limitWait(limits.headerTimeout + bodyTime);
     co_await readBody(outcome, limits);
     co_return outcome;
 }
--- a/src/libs/gateway/clientsession.h
+++ b/src/libs/gateway/clientsession.h
@@ -88,7 +88,7 @@
                 return request_plan();
             });
         if (refused) {
-            if (utils::answerFor(refused->kind).comeBack)
+            if (utils::answerFor(refused->kind).hasRetryAfter)
                 refused->retryAfter = comeBackAfter(refused->kind, m_context.nextNumber++);
             flow_result result;
             result.failure = refused;
--- a/src/libs/gateway/requestflow.h
+++ b/src/libs/gateway/requestflow.h
@@ -226,7 +226,7 @@
         utils::failure failure = utils::makeFailure(kind);
         if (m_result.refused)
             failure.retryAfter = m_result.refused->refusal.retryAfter;
-        else if (utils::answerFor(kind).comeBack)
+        else if (utils::answerFor(kind).hasRetryAfter)
             failure.retryAfter = comeBackAfter(kind, m_number);
         m_result.failure = failure;
         co_await m_writer.failure(failure);
--- a/src/libs/gateway/requestplan.cpp
+++ b/src/libs/gateway/requestplan.cpp
@@ -85,7 +85,8 @@
 decisions::server_candidate candidateOf(
     const catalogue::backend_server& server, const request_plan& plan, double weight, double failures = 0)
 {
-    return { server.id, server.dataCentre, server.slots, weight, plan.cacheTokens, server.bornAt, failures };
+    return { server.id, server.dataCentre, server.slots, weight, plan.cacheTokens, server.startedAtMs,
+        failures };
 }
 
 } // namespace
@@ -190,7 +191,7 @@
 
 int queueUrgency(const request_plan& plan)
 {
-    static_assert(catalogue::configuration::urgencies <= decisions::urgencies);
+    static_assert(catalogue::configuration::urgencyLevels <= decisions::urgencies);
     return plan.isEngine ? plan.urgency : decisions::urgencies - 1;
 }
 
--- a/src/libs/gateway/serveruse.cpp
+++ b/src/libs/gateway/serveruse.cpp
@@ -29,9 +29,9 @@
     m_heldTokens = placement.heldTokens;
     m_unreadTokens = unreadTokens;
     m_context.loads.started(m_server, m_unreadTokens);
-    m_candidate = { m_server, server.dataCentre, server.slots, 1, m_plan.cacheTokens, server.bornAt, 0 };
+    m_candidate = { m_server, server.dataCentre, server.slots, 1, m_plan.cacheTokens, server.startedAtMs, 0 };
     m_context.choice.sent(m_candidate, m_plan.parts);
-    m_context.running[m_number] = { m_server, server.bornAt, m_plan.digest };
+    m_context.running[m_number] = { m_server, server.startedAtMs, m_plan.digest };
     m_context.silence.sent(m_server, m_number, m_serverSilence, times.forecast(unreadTokens).latest(), now);
 }
 
--- a/src/libs/gateway/storeview.h
+++ b/src/libs/gateway/storeview.h
@@ -145,7 +145,7 @@
         if (copy.serversAsOf <= m_serversAsOf)
             return isNew;
         const bool isCertain = copy.settlesInMs == 0;
-        m_context.servers.settleFor(std::chrono::milliseconds(copy.settlesInMs), now);
+        m_context.servers.extendSettling(std::chrono::milliseconds(copy.settlesInMs), now);
         if (copy.isWhole) {
             std::vector<store_item> servers;
             for (const copied_item& copied : copy.servers)
@@ -170,7 +170,8 @@
                 copy.configuration.push_back({ m_configuration });
             return copy;
         }
-        const auto settlesIn = std::chrono::ceil<std::chrono::milliseconds>(m_context.servers.settlesIn(now));
+        const auto settlesIn
+            = std::chrono::ceil<std::chrono::milliseconds>(m_context.servers.remainingSettleTime(now));
         copy.settlesInMs = static_cast<std::uint32_t>(settlesIn.count());
         copy.isWhole = request.serversAsOf < m_removals.completeSince();
         if (copy.isWhole && !request.takesWhole)
--- a/src/libs/utils/errorkind.cpp
+++ b/src/libs/utils/errorkind.cpp
@@ -114,7 +114,7 @@
 {
     if (f.retryAfter)
         return std::max(1, static_cast<int>(std::ceil(toSeconds(*f.retryAfter))));
-    return answerFor(f.kind).comeBack ? defaultRetryAfterSeconds : 0;
+    return answerFor(f.kind).hasRetryAfter ? defaultRetryAfterSeconds : 0;
 }
 
 } // namespace utils
--- a/src/libs/utils/errorkind.h
+++ b/src/libs/utils/errorkind.h
@@ -59,7 +59,7 @@
     std::string_view name; ///< `kind` in problem+json, e.g. "not_approved"
     int httpStatus;
     run_state run; ///< the state unless the failure says otherwise
-    bool comeBack; ///< whether coming back later helps: the answer carries Retry-After
+    bool hasRetryAfter; ///< whether coming back later helps: the answer carries Retry-After
     std::string_view title;
 };
 
--- a/src/libs/utils/eventlog.cpp
+++ b/src/libs/utils/eventlog.cpp
@@ -1,6 +1,6 @@
 #include "eventlog.h"
 
-#include "eventrate.h"
+#include "eventratelimiter.h"
 #include "processclock.h"
 
 #include <boost/json.hpp>
@@ -27,8 +27,8 @@
     log_format format = log_format::Text;
     severity lowest = severity::Info;
     std::shared_ptr<spdlog::logger> logger;
-    std::mutex mutex; ///< guards `rate`
-    event_rate rate;
+    std::mutex mutex; ///< guards `rateLimiter`
+    event_rate_limiter rateLimiter;
 };
 
 log_settings& settings()
@@ -63,10 +63,10 @@
     return boost::json::serialize(line).substr(1);
 }
 
-event_rate::verdict takeLine(event id)
+event_rate_limiter::decision admitLine(event id)
 {
     const std::lock_guard lock(settings().mutex);
-    return settings().rate.take(id, processNow());
+    return settings().rateLimiter.admit(id, processNow());
 }
 
 } // namespace
@@ -104,12 +104,12 @@
     log_settings& log = settings();
     if (info.level < log.lowest)
         return;
-    const event_rate::verdict verdict = takeLine(id);
-    if (!verdict.isWritten)
+    const event_rate_limiter::decision decision = admitLine(id);
+    if (!decision.isAdmitted)
         return;
     std::vector<log_field> all = fields;
-    if (verdict.leftOut > 0)
-        all.push_back({ "left_out", std::to_string(verdict.leftOut) });
+    if (decision.suppressed > 0)
+        all.push_back({ "left_out", std::to_string(decision.suppressed) });
     const std::string line = log.format == log_format::Json ? jsonLine(info, all) : textLine(info, all);
     const auto level = levels.at(static_cast<std::size_t>(info.level));
     spdlog::logger* logger = log.logger ? log.logger.get() : spdlog::default_logger_raw();
--- a/tests/auto/catalogue/tst_serverdirectory.cpp
+++ b/tests/auto/catalogue/tst_serverdirectory.cpp
@@ -16,14 +16,14 @@
     return utils::time_point {} + 1h + since;
 }
 
-backend_server serverOf(const std::string& id, std::uint64_t revision = 1, std::uint64_t bornAt = 1)
+backend_server serverOf(const std::string& id, std::uint64_t revision = 1, std::uint64_t startedAtMs = 1)
 {
     backend_server server;
     server.id = server_id(id);
     server.service = "s";
     server.address = "10.0.0.1:80";
     server.revision = revision;
-    server.bornAt = bornAt;
+    server.startedAtMs = startedAtMs;
     return server;
 }
 
@@ -80,7 +80,7 @@
 // Another server answers at the address: the entry is not used until the server tells of itself anew.
 BOOST_FIXTURE_TEST_CASE(a_disowned_server_comes_back_with_a_new_life_only, directory_fixture)
 {
-    directory.disown(a);
+    directory.markIdentityMismatch(a);
     BOOST_TEST(!directory.isUsable(a));
     directory.put(a, serverOf("a", 2), at(1s));
     BOOST_TEST(!directory.isUsable(a));
--- a/tests/auto/config/tst_documentfuzz.cpp
+++ b/tests/auto/config/tst_documentfuzz.cpp
@@ -1,5 +1,5 @@
-#include "damage.h"
 #include "documentproperty.h"
+#include "mutate.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -31,7 +31,7 @@
     for (const char* name : { "document.yaml", "settings.yaml" }) {
         const std::string sample = readSample(name);
         for (int i = 0; i < rounds; ++i) {
-            const std::string text = damage(sample, marks, random);
+            const std::string text = mutate(sample, marks, random);
             BOOST_TEST(holdsForDocument(text), text);
             BOOST_TEST(holdsForStoredText(text), text);
         }
--- a/tests/auto/gateway/tst_gatewayfuzz.cpp
+++ b/tests/auto/gateway/tst_gatewayfuzz.cpp
@@ -1,5 +1,5 @@
-#include "damage.h"
 #include "gatewayproperty.h"
+#include "mutate.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +13,7 @@
     std::mt19937_64 random(seed);
     BOOST_TEST(holds(sample));
     for (unsigned i = 0; i < rounds; ++i) {
-        const std::string text = damage(sample, marks, random);
+        const std::string text = mutate(sample, marks, random);
         if (!holds(text))
             BOOST_ERROR("round " << i << ": " << text);
     }
--- a/tests/auto/platform/tst_decoders.cpp
+++ b/tests/auto/platform/tst_decoders.cpp
@@ -64,7 +64,7 @@
     BOOST_TEST(configuration->findService("e")->engine->cacheBytesPerToken == 18432);
     BOOST_TEST(configuration->findService("e")->engine->copyBitsPerSecond == 130e9);
     BOOST_TEST(!configuration->findService("p")->engine.has_value());
-    BOOST_TEST((configuration->limits.idleTime == 15s));
+    BOOST_TEST((configuration->limits.idleTimeout == 15s));
     BOOST_TEST(configuration->findWorkspace("k2")->name == "t1");
     BOOST_TEST(configuration->findWorkspace("k2")->priority.value() == 1);
     BOOST_TEST(configuration->findWorkspace("k3") == nullptr);
@@ -92,7 +92,7 @@
     BOOST_TEST(urgency(0, 1) < urgency(2, 1));
     BOOST_TEST(urgency(0, 2) < urgency(1, 2));
     BOOST_TEST(urgency(0, 2) == urgency(0, 0));
-    BOOST_TEST(urgency(2, 2) < catalogue::configuration::urgencies);
+    BOOST_TEST(urgency(2, 2) < catalogue::configuration::urgencyLevels);
     BOOST_TEST(configuration.urgencyOf(configuration.routes[1], nullptr) == urgency(1, 2));
 }
 
@@ -128,7 +128,7 @@
     const auto server = serverOf(entry);
     BOOST_REQUIRE(server.has_value());
     BOOST_TEST(server->service == "e");
-    BOOST_TEST(server->bornAt == 1700u);
+    BOOST_TEST(server->startedAtMs == 1700u);
     BOOST_TEST(!server->isDraining);
     BOOST_TEST(serverOf(replaced(entry, "ready", "draining"))->isDraining);
     BOOST_TEST(!serverOf(replaced(entry, "ready", "asleep")).has_value());
--- a/tests/fuzz/damage.h
+++ b/tests/fuzz/mutate.h
@@ -5,7 +5,7 @@
 #include <string_view>
 
 /// The text with a few places deleted, doubled or overwritten by one of `marks`.
-inline std::string damage(std::string text, std::string_view marks, std::mt19937_64& random)
+inline std::string mutate(std::string text, std::string_view marks, std::mt19937_64& random)
 {
     const std::size_t times = 1 + random() % 4;
     for (std::size_t i = 0; i < times && !text.empty(); ++i) {
