--- a/src/libs/gateway/attempt.cpp
+++ b/src/libs/gateway/attempt.cpp
@@ -6,23 +6,23 @@
 
 namespace {
 
-using enum attempt_end;
+using enum attempt_outcome;
 
 constexpr std::array<std::string_view, static_cast<std::size_t>(Count_)> names { "not_sent", "no_repeat",
     "not_run", "failed", "cut", "silent", "garbled", "answered", "stopped" };
 
 } // namespace
 
-std::string_view toString(attempt_end end)
+std::string_view toString(attempt_outcome outcome)
 {
-    return names.at(static_cast<std::size_t>(end));
+    return names.at(static_cast<std::size_t>(outcome));
 }
 
-void attempt_record::add(attempt_end end)
+void attempt_record::add(attempt_outcome outcome)
 {
     ++m_attempts;
-    m_last = end;
-    switch (end) {
+    m_last = outcome;
+    switch (outcome) {
     case NotSent:
         ++m_unsent;
         return;
@@ -39,7 +39,7 @@
     }
 }
 
-bool attempt_record::mayTryAgain() const
+bool attempt_record::mayRetry() const
 {
     if (m_last == Answered || m_last == Stopped || m_last == NoRepeat)
         return false;
@@ -50,7 +50,7 @@
     return m_mayRepeat && m_mayHaveRun < m_maxRuns;
 }
 
-utils::error_kind attempt_record::finalKind() const
+utils::error_kind attempt_record::finalErrorKind() const
 {
     if (hasProvablyNotRun())
         return m_notRun > 0 ? utils::error_kind::QueueFull : utils::error_kind::NoServer;
--- a/src/libs/gateway/serveruse.cpp
+++ b/src/libs/gateway/attempttracker.cpp
@@ -1,4 +1,4 @@
-#include "serveruse.h"
+#include "attempttracker.h"
 
 #include <algorithm>
 
@@ -10,13 +10,13 @@
 
 } // namespace
 
-void server_use::begin(const catalogue::backend_server& server, std::uint32_t unreadTokens,
+void attempt_tracker::begin(const catalogue::backend_server& server, std::uint32_t unreadTokens,
     const decisions::placement& placement, utils::time_point now)
 {
     ++m_context.sentRequests;
     m_server = server.id;
     m_sentAt = now;
-    m_heardAt = now;
+    m_lastReceivedAt = now;
     m_isPromptPending = true;
     m_firstEventAt = {};
     m_serverSilence = decisions::server_silence::limitFor(m_plan.route->targetLatency, m_plan.isEngine);
@@ -24,7 +24,7 @@
     m_tokensAhead = placement.load.promptTokens + unreadTokens;
     const utils::duration slotWait
         = times.slotWait(placement.load.requests, server.slots, queueUrgency(m_plan));
-    m_latestAnswer = times.forecast(m_tokensAhead).latest() + 2 * slotWait;
+    m_latestResponse = times.forecast(m_tokensAhead).latest() + 2 * slotWait;
     m_hasSlot = placement.load.requests < server.slots;
     m_heldTokens = placement.heldTokens;
     m_unreadTokens = unreadTokens;
@@ -35,48 +35,48 @@
     m_context.silence.sent(m_server, m_number, m_serverSilence, times.forecast(unreadTokens).latest(), now);
 }
 
-void server_use::heard(utils::time_point now)
+void attempt_tracker::dataReceived(utils::time_point now)
 {
-    m_heardAt = now;
+    m_lastReceivedAt = now;
     m_context.silence.heard(m_server, now);
 }
 
-void server_use::promptRead()
+void attempt_tracker::prefillDone()
 {
     if (!m_isPromptPending)
         return;
     m_isPromptPending = false;
-    m_latestAnswer = utils::duration::zero();
+    m_latestResponse = utils::duration::zero();
     m_context.loads.answered(m_server, m_unreadTokens);
     m_context.silence.promptRead(m_server, m_number);
 }
 
-void server_use::firstEvent(utils::time_point now)
+void attempt_tracker::firstEventReceived(utils::time_point now)
 {
     if (m_isPromptPending && m_hasSlot)
         m_context.timesOf(m_plan.service).began(m_tokensAhead, now - m_sentAt);
     m_firstEventAt = now;
-    promptRead();
+    prefillDone();
     m_context.health.succeeded(m_plan.service, m_server, now - m_sentAt, now);
 }
 
-void server_use::end(attempt_end end, int status, utils::time_point now)
+void attempt_tracker::end(attempt_outcome outcome, int status, utils::time_point now)
 {
     if (m_isPromptPending)
         m_context.choice.withdrawn(m_candidate, m_plan.parts, m_heldTokens);
-    promptRead();
+    prefillDone();
     m_context.loads.finished(m_server);
     m_context.silence.ended(m_server, m_number);
-    if (end == attempt_end::Cut)
-        noteCrash(m_context, m_server, now);
+    if (outcome == attempt_outcome::Cut)
+        recordCrash(m_context, m_server, now);
     m_context.running.erase(m_number);
-    const bool isFailure = end == attempt_end::Cut || end == attempt_end::Silent
-        || end == attempt_end::Garbled || end == attempt_end::Failed;
+    const bool isFailure = outcome == attempt_outcome::Cut || outcome == attempt_outcome::Silent
+        || outcome == attempt_outcome::Garbled || outcome == attempt_outcome::Failed;
     if (isFailure)
         m_context.health.failed(m_plan.service, m_server, now);
-    if (isFailure || end == attempt_end::Answered)
+    if (isFailure || outcome == attempt_outcome::Answered)
         m_context.failures.ended(m_plan.route->name, m_server, isFailure || status >= firstFailure, now);
-    if (end != attempt_end::Answered)
+    if (outcome != attempt_outcome::Answered)
         return;
     m_context.poison.completed(m_plan.digest, now);
     const bool isShort = m_plan.route->kind != catalogue::request_kind::Stream;
@@ -85,7 +85,7 @@
     learnOccupancy(isShort, now);
 }
 
-void server_use::learnOccupancy(bool isShort, utils::time_point now)
+void attempt_tracker::learnOccupancy(bool isShort, utils::time_point now)
 {
     decisions::response_times& times = m_context.timesOf(m_plan.service);
     if (!isShort) {
@@ -100,17 +100,17 @@
     times.ended(queueUrgency(m_plan), now - m_sentAt);
 }
 
-utils::duration server_use::silentFor(utils::time_point now) const
+utils::duration attempt_tracker::silentFor(utils::time_point now) const
 {
-    return m_heardAt == utils::time_point() ? utils::duration::zero() : now - m_heardAt;
+    return m_lastReceivedAt == utils::time_point() ? utils::duration::zero() : now - m_lastReceivedAt;
 }
 
-utils::time_point server_use::silentAt(utils::duration limit, utils::time_point now) const
+utils::time_point attempt_tracker::timeoutAt(utils::duration limit, utils::time_point now) const
 {
-    const utils::time_point serverHeardAt = std::max(m_heardAt, m_context.silence.lastHeard(m_server));
+    const utils::time_point serverHeardAt = std::max(m_lastReceivedAt, m_context.silence.lastHeard(m_server));
     const utils::duration serverLimit = std::max({ m_serverSilence,
         m_context.silence.longestReading(m_server), m_context.othersReading(m_plan.service, m_server, now) });
-    return std::min(m_heardAt + std::max(limit, m_latestAnswer), serverHeardAt + serverLimit);
+    return std::min(m_lastReceivedAt + std::max(limit, m_latestResponse), serverHeardAt + serverLimit);
 }
 
 } // namespace gateway
--- a/src/libs/gateway/callerconnection.cpp
+++ b/src/libs/gateway/callerconnection.cpp
@@ -25,12 +25,12 @@
 constexpr std::size_t readSize = 16384; // bytes of one read
 // Of a whole body, on top of the head's time: 4 MB at the slowest link that a caller of a chat has.
 constexpr utils::duration bodyTime = std::chrono::seconds(10);
-// So long a caller gets to read a last answer before the connection is reset under it.
-constexpr utils::duration finishTime = std::chrono::milliseconds(500);
-// Unacknowledged for so long, an answer has nobody who waits for it.
+// So long a caller gets to read a last response before the connection is reset under it.
+constexpr utils::duration gracefulCloseTime = std::chrono::milliseconds(500);
+// Unacknowledged for so long, a response has nobody who waits for it.
 constexpr utils::duration silenceLimit = std::chrono::seconds(10);
 constexpr unsigned httpOneOne = 11;
-constexpr std::string_view continueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
+constexpr std::string_view continueResponse = "HTTP/1.1 100 Continue\r\n\r\n";
 
 } // namespace
 
@@ -38,7 +38,7 @@
     : m_socket(std::move(socket))
     , m_timer(m_socket.get_executor())
 {
-    limitSilence(m_socket, silenceLimit);
+    setTcpUserTimeout(m_socket, silenceLimit);
 }
 
 asio::awaitable<read_outcome> caller_connection::readRequest(const catalogue::caller_limits& limits)
@@ -121,7 +121,7 @@
         if (parser.is_header_done() && !isToldToContinue
             && boost::beast::iequals(parser.get()[http::field::expect], "100-continue")) {
             isToldToContinue = true;
-            std::string goOn(continueAnswer);
+            std::string goOn(continueResponse);
             co_await write(std::move(goOn));
         }
         const error_code error = co_await receive();
@@ -150,31 +150,31 @@
 void caller_connection::watch(std::function<void()> onGone)
 {
     m_onGone = std::move(onGone);
-    ++m_watchTurn;
+    ++m_watchGeneration;
     if (wire::peekSocket(m_socket) == wire::peek_result::Closed)
         std::exchange(m_onGone, nullptr)();
     else
-        waitForClose(m_watchTurn);
+        waitForClose(m_watchGeneration);
 }
 
 void caller_connection::stopWatching()
 {
-    ++m_watchTurn;
+    ++m_watchGeneration;
     m_onGone = nullptr;
     error_code ignored; // a socket that is gone has no wait to cancel
     m_socket.cancel(ignored);
 }
 
-void caller_connection::waitForClose(std::uint64_t turn)
+void caller_connection::waitForClose(std::uint64_t generation)
 {
     m_socket.async_wait(
-        asio::ip::tcp::socket::wait_read, [self = shared_from_this(), turn](const error_code& error) {
-            if (turn != self->m_watchTurn || error == asio::error::operation_aborted)
+        asio::ip::tcp::socket::wait_read, [self = shared_from_this(), generation](const error_code& error) {
+            if (generation != self->m_watchGeneration || error == asio::error::operation_aborted)
                 return;
             const wire::peek_result seen
                 = error ? wire::peek_result::Closed : wire::peekSocket(self->m_socket);
             if (seen == wire::peek_result::Nothing) {
-                self->waitForClose(turn);
+                self->waitForClose(generation);
                 return;
             }
             if (seen != wire::peek_result::Closed)
@@ -186,12 +186,12 @@
         });
 }
 
-asio::awaitable<void> caller_connection::finish()
+asio::awaitable<void> caller_connection::closeGracefully()
 {
     const auto self = shared_from_this();
     error_code ignored; // the connection ends either way
     m_socket.shutdown(asio::ip::tcp::socket::shutdown_send, ignored);
-    limitWait(finishTime);
+    limitWait(gracefulCloseTime);
     m_received.clear();
     while (!co_await receive())
         m_received.clear();
@@ -217,7 +217,7 @@
 
 void caller_connection::close()
 {
-    ++m_watchTurn;
+    ++m_watchGeneration;
     m_onGone = nullptr;
     error_code ignored; // nothing can be done about a close that fails
     m_socket.close(ignored);
@@ -235,17 +235,17 @@
 
 void caller_connection::endWait()
 {
-    ++m_timerTurn;
+    ++m_timerGeneration;
     m_timer.cancel();
 }
 
 void caller_connection::limitWait(utils::duration limit)
 {
     // A timer that has just fired is not cancelled any more, and would end the wrong wait.
-    const std::uint64_t turn = ++m_timerTurn;
+    const std::uint64_t generation = ++m_timerGeneration;
     m_timer.expires_after(limit);
-    m_timer.async_wait([self = shared_from_this(), turn](const error_code& error) {
-        if (error || turn != self->m_timerTurn)
+    m_timer.async_wait([self = shared_from_this(), generation](const error_code& error) {
+        if (error || generation != self->m_timerGeneration)
             return;
         self->m_isTimeUp = true;
         error_code ignored; // the read that waits ends either way
--- a/src/libs/gateway/callerconnection.h
+++ b/src/libs/gateway/callerconnection.h
@@ -55,8 +55,8 @@
     /// Ends the wait for a request if there is one; a request whose bytes were read already goes on.
     void endIfIdle();
     /// Lets the caller read what was written before the connection ends.
-    boost::asio::awaitable<void> finish();
-    /// Ends the connection so that a part of an answer does not look whole.
+    boost::asio::awaitable<void> closeGracefully();
+    /// Ends the connection so that a part of a response does not look whole.
     void abort();
     void close();
 
@@ -66,14 +66,14 @@
     boost::asio::awaitable<void> readBody(read_outcome& outcome, const catalogue::caller_limits& limits);
     void limitWait(utils::duration limit);
     void endWait();
-    void waitForClose(std::uint64_t turn);
+    void waitForClose(std::uint64_t generation);
 
     boost::asio::ip::tcp::socket m_socket;
     boost::asio::steady_timer m_timer;
     std::string m_received;
     std::function<void()> m_onGone;
-    std::uint64_t m_watchTurn = 0;
-    std::uint64_t m_timerTurn = 0;
+    std::uint64_t m_watchGeneration = 0;
+    std::uint64_t m_timerGeneration = 0;
     bool m_isIdle = false;
     bool m_isTimeUp = false;
 };
--- a/src/libs/gateway/clientsession.h
+++ b/src/libs/gateway/clientsession.h
@@ -1,10 +1,10 @@
 #pragma once
 
-#include "answerwriter.h"
 #include "callerconnection.h"
 #include "nodecontext.h"
 #include "requestflow.h"
 #include "requestlog.h"
+#include "responsewriter.h"
 
 #include <boost/asio/use_awaitable.hpp>
 
@@ -48,12 +48,12 @@
     boost::asio::awaitable<bool> reject(const read_outcome& outcome)
     {
         const utils::error_kind kind = kindOf(outcome.status);
-        answer_writer writer(*m_connection, Wire::requestIdName(), std::string(), false);
+        response_writer writer(*m_connection, Wire::requestIdName(), std::string(), false);
         utils::failure failure = utils::makeFailure(kind, outcome.detail);
         m_context.metrics.countRequest(noService, utils::answerFor(kind).name, now() - outcome.arrivedAt);
         logRejected(failure);
-        co_await writer.failure(failure);
-        co_await m_connection->finish();
+        co_await writer.writeFailure(failure);
+        co_await m_connection->closeGracefully();
         co_return false;
     }
 
@@ -65,21 +65,21 @@
         request.arrivedAt = outcome.arrivedAt;
         const bool keepsAlive = outcome.request->keep_alive() && !m_context.window.isStopping();
         ++m_context.requestsInProgress;
-        answer_writer writer(*m_connection, Wire::requestIdName(), request.requestId, keepsAlive);
-        const flow_result result = co_await answer(request, writer);
+        response_writer writer(*m_connection, Wire::requestIdName(), request.requestId, keepsAlive);
+        const flow_result result = co_await dispatch(request, writer);
         --m_context.requestsInProgress;
         if (m_context.window.isStopping())
-            writer.endConnection();
-        if (result.isCut || result.stopped == stop_reason::CallerGone) {
+            writer.closeAfterResponse();
+        if (result.isTruncated || result.stopReason == stop_reason::CallerGone) {
             m_connection->abort();
             co_return false;
         }
         if (!writer.keepsAlive())
-            co_await m_connection->finish();
+            co_await m_connection->closeGracefully();
         co_return writer.keepsAlive();
     }
 
-    boost::asio::awaitable<flow_result> answer(const client_request& request, answer_writer& writer)
+    boost::asio::awaitable<flow_result> dispatch(const client_request& request, response_writer& writer)
     {
         std::optional<utils::failure> refused;
         request_plan plan = utils::valueOr([&] { return planRequest(m_context, request, now()); },
@@ -89,18 +89,18 @@
             });
         if (refused) {
             if (utils::answerFor(refused->kind).comeBack)
-                refused->retryAfter = comeBackAfter(refused->kind, m_context.nextNumber++);
+                refused->retryAfter = retryAfterFor(refused->kind, m_context.nextNumber++);
             flow_result result;
             result.failure = refused;
             report(request, plan, result);
-            co_await writer.failure(*refused);
+            co_await writer.writeFailure(*refused);
             co_return result;
         }
         const auto scope = std::make_shared<stop_scope>(m_context.executor);
-        scope->limitUntil(plan.giveUpAt, now());
+        scope->setDeadline(plan.deadline, now());
         m_connection->watch([scope] { scope->stop(stop_reason::CallerGone); });
         // A caller that does not read blocks the stream; at the deadline it is cut either way.
-        scope->onTimeUp([connection = m_connection, &writer] {
+        scope->onDeadline([connection = m_connection, &writer] {
             if (writer.isStream())
                 connection->abort();
         });
--- a/src/libs/gateway/connectionpool.cpp
+++ b/src/libs/gateway/connectionpool.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// The server counts its limit from when it sent the answer; a request that crosses its close is lost.
+// The server counts its limit from when it sent the response; a request that crosses its close is lost.
 constexpr utils::duration closeMargin = std::chrono::milliseconds(300);
 
 } // namespace
@@ -19,7 +19,7 @@
     while (!found->second.empty()) {
         http_connection_ptr connection = std::move(found->second.back());
         found->second.pop_back();
-        if (!isExpired(*connection, now) && connection->isQuiet())
+        if (!isExpired(*connection, now) && connection->isIdleAndOpen())
             return connection;
         connection->close();
     }
--- a/src/libs/gateway/connectionpool.h
+++ b/src/libs/gateway/connectionpool.h
@@ -21,7 +21,7 @@
 
     /// A connection that the server has not closed; null when a new one is needed.
     http_connection_ptr take(const utils::server_id& server, utils::time_point now);
-    /// Gives one back after a whole answer; closes what cannot be used again.
+    /// Gives one back after a whole response; closes what cannot be used again.
     void put(const utils::server_id& server, http_connection_ptr connection, utils::time_point now);
     /// Closes what has been idle for too long.
     void expire(utils::time_point now);
--- a/src/libs/gateway/eventscanner.cpp
+++ b/src/libs/gateway/eventscanner.cpp
@@ -48,7 +48,7 @@
         at = end + boundary.size();
     }
     m_partial.erase(0, at);
-    if (m_partial.size() > largestEvent && m_fault == stream_fault::None)
+    if (m_partial.size() > maxEventBytes && m_fault == stream_fault::None)
         m_fault = stream_fault::TooLong;
     return whole;
 }
--- a/src/libs/gateway/eventscanner.h
+++ b/src/libs/gateway/eventscanner.h
@@ -11,7 +11,7 @@
 enum class stream_fault {
     None,
     Gap, ///< an event is missing
-    TooLong, ///< an event is longer than largestEvent
+    TooLong, ///< an event is longer than maxEventBytes
     NoId, ///< an event has no id in a stream whose events have one
     Count_
 };
@@ -41,7 +41,7 @@
     std::uint64_t count() const { return m_count; }
     /// Bytes of one event at most. Without a bound a server whose event never ends takes all memory of the
     /// node; usual ones have some hundred.
-    static constexpr std::size_t largestEvent = 262144;
+    static constexpr std::size_t maxEventBytes = 262144;
 
     stream_fault fault() const { return m_fault; }
 
--- a/src/libs/gateway/flowresult.h
+++ b/src/libs/gateway/flowresult.h
@@ -13,9 +13,9 @@
 
 /// How a request ended, for the log line.
 struct flow_result {
-    std::optional<utils::failure> failure; ///< nothing when the caller has a backend server's whole answer
-    int status = 0; ///< of the backend server's answer
-    attempt_end last = attempt_end::NotSent;
+    std::optional<utils::failure> failure; ///< nothing when the caller has a backend server's whole response
+    int status = 0; ///< of the backend server's response
+    attempt_outcome lastOutcome = attempt_outcome::NotSent;
     unsigned attempts = 0;
     utils::server_id server; ///< the last one tried
     std::string serverDataCentre;
@@ -25,11 +25,11 @@
     bool isViewTooOld = false; ///< nothing more was sent for that
     std::optional<overload_refusal> refused; ///< for overload, before anything was sent
     utils::server_id copiedFrom; ///< the engine from which the last one was told to copy; empty: none
-    stop_reason stopped = stop_reason::None;
+    stop_reason stopReason = stop_reason::None;
     std::uint64_t events = 0;
-    utils::duration toFirstEvent {}; ///< from the arrival of the request
+    utils::duration timeToFirstEvent {}; ///< from the arrival of the request
     utils::duration longestGap {}; ///< between two events as they were passed on
-    bool isCut = false; ///< the caller got a part of an answer
+    bool isTruncated = false; ///< the caller got a part of a response
 };
 
 } // namespace gateway
--- a/src/libs/gateway/httpcaller.cpp
+++ b/src/libs/gateway/httpclient.cpp
@@ -1,4 +1,4 @@
-#include "httpcaller.h"
+#include "httpclient.h"
 
 #include "clock.h"
 #include "headerlines.h"
@@ -13,12 +13,12 @@
 
 namespace {
 
-// Without a byte for so long an answer has stopped arriving.
+// Without a byte for so long a response has stopped arriving.
 constexpr utils::duration stallTime = std::chrono::milliseconds(500);
 
 } // namespace
 
-http_caller::http_caller(asio::any_io_executor executor, const asio::ip::tcp::endpoint& server)
+http_client::http_client(asio::any_io_executor executor, const asio::ip::tcp::endpoint& server)
     : m_executor(std::move(executor))
     , m_server(server)
     , m_host(wire::toText(server))
@@ -26,12 +26,12 @@
 {
 }
 
-http_caller::~http_caller()
+http_client::~http_client()
 {
     close();
 }
 
-void http_caller::close()
+void http_client::close()
 {
     m_timer->cancel();
     if (m_connection)
@@ -39,15 +39,15 @@
     m_connection.reset();
 }
 
-asio::awaitable<std::optional<call_answer>> http_caller::call(call_request request, utils::duration timeout)
+asio::awaitable<std::optional<call_response>> http_client::call(call_request request, utils::duration timeout)
 {
-    if (m_connection && !m_connection->isQuiet())
+    if (m_connection && !m_connection->isIdleAndOpen())
         close();
     const bool isNew = !m_connection;
     if (isNew)
         m_connection = std::make_shared<http_connection>(m_executor);
     const http_connection_ptr connection = m_connection;
-    limitSilence(m_timer, connection, timeout);
+    startTimeout(m_timer, connection, timeout);
     if (isNew) {
         const boost::system::error_code error = co_await connection->connect(m_server);
         if (error) {
@@ -59,22 +59,22 @@
     auto body = std::make_shared<const std::string>(std::move(request.body));
     m_isCalling = true;
     m_calledAt = now();
-    std::optional<call_answer> answer = co_await exchange(connection, std::move(head), std::move(body));
+    std::optional<call_response> response = co_await exchange(connection, std::move(head), std::move(body));
     m_isCalling = false;
     m_timer->cancel();
-    if (!answer || !connection->isReusable())
+    if (!response || !connection->isReusable())
         close();
-    co_return answer;
+    co_return response;
 }
 
-bool http_caller::isReceiving(utils::time_point now) const
+bool http_client::isReceiving(utils::time_point now) const
 {
-    if (!m_isCalling || !m_connection || m_connection->heardAt < m_calledAt)
+    if (!m_isCalling || !m_connection || m_connection->lastReceivedAt < m_calledAt)
         return false;
-    return now - m_connection->heardAt < stallTime;
+    return now - m_connection->lastReceivedAt < stallTime;
 }
 
-void http_caller::limitSilence(
+void http_client::startTimeout(
     const timer_ptr& timer, const http_connection_ptr& connection, utils::duration limit)
 {
     timer->expires_after(limit);
@@ -82,15 +82,15 @@
         // A handler that was queued before the timer was set anew belongs to the call before.
         if (error || timer->expiry() > std::chrono::steady_clock::now())
             return;
-        const utils::duration silent = now() - connection->heardAt;
+        const utils::duration silent = now() - connection->lastReceivedAt;
         if (silent < stallTime)
-            limitSilence(timer, connection, stallTime - silent);
+            startTimeout(timer, connection, stallTime - silent);
         else
-            connection->abandon();
+            connection->abort();
     });
 }
 
-std::string http_caller::headOf(const call_request& request) const
+std::string http_client::headOf(const call_request& request) const
 {
     std::string head = request.method + ' ' + request.target + " HTTP/1.1\r\n";
     appendHeader(head, "Host", m_host);
@@ -101,24 +101,24 @@
     return head + "\r\n";
 }
 
-asio::awaitable<std::optional<call_answer>> http_caller::exchange(
+asio::awaitable<std::optional<call_response>> http_client::exchange(
     http_connection_ptr connection, std::string head, std::shared_ptr<const std::string> body)
 {
     connection->startWrite(std::move(head), std::move(body), false);
     boost::system::error_code error = co_await connection->readHead();
     if (error)
         co_return std::nullopt;
-    call_answer answer;
-    answer.status = static_cast<int>(connection->head().result_int());
+    call_response response;
+    response.status = static_cast<int>(connection->head().result_int());
     while (!connection->isDone()) {
-        error = co_await connection->readBody(answer.body);
+        error = co_await connection->readBody(response.body);
         if (error)
             co_return std::nullopt;
     }
-    error = co_await connection->readBody(answer.body);
+    error = co_await connection->readBody(response.body);
     if (error)
         co_return std::nullopt;
-    co_return answer;
+    co_return response;
 }
 
 } // namespace gateway
--- a/src/libs/gateway/httpcaller.h
+++ b/src/libs/gateway/httpclient.h
@@ -23,24 +23,24 @@
     }
 };
 
-/// The answer to a call.
-struct call_answer {
+/// The response to a call.
+struct call_response {
     int status = 0;
     std::string body;
 };
 
 /// Calls another process, one call at a time, over a connection that it keeps. Not thread safe.
-class http_caller {
+class http_client {
 public:
-    http_caller(boost::asio::any_io_executor executor, const boost::asio::ip::tcp::endpoint& server);
-    ~http_caller();
-    http_caller(const http_caller&) = delete;
-    http_caller& operator=(const http_caller&) = delete;
+    http_client(boost::asio::any_io_executor executor, const boost::asio::ip::tcp::endpoint& server);
+    ~http_client();
+    http_client(const http_client&) = delete;
+    http_client& operator=(const http_client&) = delete;
 
-    /// Nothing when no answer began in time, or when one stopped arriving; the connection is closed then,
-    /// since what comes later would be taken for the answer to the next call.
-    boost::asio::awaitable<std::optional<call_answer>> call(call_request request, utils::duration timeout);
-    /// Whether bytes of an answer are arriving.
+    /// Nothing when no response began in time, or when one stopped arriving; the connection is closed then,
+    /// since what comes later would be taken for the response to the next call.
+    boost::asio::awaitable<std::optional<call_response>> call(call_request request, utils::duration timeout);
+    /// Whether bytes of a response are arriving.
     bool isReceiving(utils::time_point now) const;
     void close();
 
@@ -48,11 +48,11 @@
     using timer_ptr = std::shared_ptr<boost::asio::steady_timer>;
 
     std::string headOf(const call_request& request) const;
-    /// Closes the connection after `limit`, or later as soon as nothing arrives any more. A large answer over
-    /// a slow link takes longer than any time in which one should begin.
-    static void limitSilence(
+    /// Closes the connection after `limit`, or later as soon as nothing arrives any more. A large response
+    /// over a slow link takes longer than any time in which one should begin.
+    static void startTimeout(
         const timer_ptr& timer, const http_connection_ptr& connection, utils::duration limit);
-    boost::asio::awaitable<std::optional<call_answer>> exchange(
+    boost::asio::awaitable<std::optional<call_response>> exchange(
         http_connection_ptr connection, std::string head, std::shared_ptr<const std::string> body);
 
     boost::asio::any_io_executor m_executor;
--- a/src/libs/gateway/httpconnection.cpp
+++ b/src/libs/gateway/httpconnection.cpp
@@ -23,7 +23,7 @@
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
 constexpr std::uint32_t headLimit = 64 * 1024; // bytes; far above what any backend server sends
-constexpr std::size_t readSize = 16384; // bytes of one read: a dozen events, or most short answers
+constexpr std::size_t readSize = 16384; // bytes of one read: a dozen events, or most short responses
 constexpr int continueStatus = 100;
 constexpr int firstFinalStatus = 200;
 
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void limitSilence(asio::ip::tcp::socket& socket, utils::duration limit)
+void setTcpUserTimeout(asio::ip::tcp::socket& socket, utils::duration limit)
 {
     using user_timeout = asio::detail::socket_option::integer<IPPROTO_TCP, TCP_USER_TIMEOUT>;
     const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(limit);
@@ -58,7 +58,7 @@
         co_return error;
     }
     constexpr auto silence = std::chrono::seconds(3); // as long as a VM may be out of touch
-    limitSilence(m_socket, silence);
+    setTcpUserTimeout(m_socket, silence);
     co_return error;
 }
 
@@ -66,7 +66,7 @@
 {
     m_isHeadMethod = isHeadMethod;
     m_isWriting = true;
-    startAnswer();
+    startResponse();
     auto bytes = std::make_shared<outgoing_bytes>(outgoing_bytes { std::move(head), std::move(body) });
     std::array<asio::const_buffer, 2> buffers { asio::buffer(bytes->head), asio::const_buffer() };
     if (bytes->body)
@@ -74,7 +74,7 @@
     asio::async_write(
         m_socket, buffers, [self = shared_from_this(), bytes](const error_code& error, std::size_t) {
             self->m_isWriting = false;
-            // An answer may still be there to read, so the reader tells how the exchange ended.
+            // A response may still be there to read, so the reader tells how the exchange ended.
             if (error)
                 self->m_isBroken = true;
         });
@@ -91,7 +91,7 @@
             const auto status = static_cast<int>(m_parser->get().result_int());
             if (status >= firstFinalStatus || status < continueStatus)
                 co_return error_code();
-            startAnswer();
+            startResponse();
             continue;
         }
         const error_code error = co_await receive();
@@ -123,7 +123,7 @@
     co_return error_code();
 }
 
-asio::awaitable<http_connection::error_code> http_connection::skipAnswer()
+asio::awaitable<http_connection::error_code> http_connection::skipResponse()
 {
     const auto self = shared_from_this();
     std::string skipped;
@@ -133,7 +133,7 @@
         if (error)
             co_return error;
     }
-    startAnswer();
+    startResponse();
     co_return error_code();
 }
 
@@ -143,7 +143,7 @@
         && m_received.empty() && !m_isWriting && !m_isBroken && m_socket.is_open();
 }
 
-bool http_connection::isQuiet()
+bool http_connection::isIdleAndOpen()
 {
     return m_socket.is_open() && !m_isBroken && wire::peekSocket(m_socket) == wire::peek_result::Nothing;
 }
@@ -155,7 +155,7 @@
     m_socket.close(ignored);
 }
 
-void http_connection::abandon()
+void http_connection::abort()
 {
     error_code ignored; // a socket that is gone has nothing left to send
     m_socket.set_option(asio::socket_base::linger(true, 0), ignored);
@@ -170,7 +170,7 @@
         = co_await m_socket.async_read_some(asio::buffer(m_received.data() + before, readSize), asTuple);
     m_received.resize(before + count);
     if (count > 0)
-        heardAt = now();
+        lastReceivedAt = now();
     if (error)
         m_isBroken = true;
     co_return error;
@@ -191,7 +191,7 @@
     return {};
 }
 
-void http_connection::startAnswer()
+void http_connection::startResponse()
 {
     m_parser.emplace();
     m_parser->header_limit(headLimit);
--- a/src/libs/gateway/httpconnection.h
+++ b/src/libs/gateway/httpconnection.h
@@ -15,12 +15,12 @@
 namespace gateway {
 
 /// Keeps a half-dead connection from holding work: the kernel gives it up when bytes stay unacknowledged.
-void limitSilence(boost::asio::ip::tcp::socket& socket, utils::duration limit);
+void setTcpUserTimeout(boost::asio::ip::tcp::socket& socket, utils::duration limit);
 
-/// A connection on which this node asks and another process answers, one request at a time.
+/// A connection on which this node asks and another process responses, one request at a time.
 ///
-/// Reads and writes go side by side: the other side may answer before it has read a long body, and both
-/// sides would wait for each other otherwise. close() and abandon() end everything that waits. Not thread
+/// Reads and writes go side by side: the other side may response before it has read a long body, and both
+/// sides would wait for each other otherwise. close() and abort() end everything that waits. Not thread
 /// safe.
 class http_connection : public std::enable_shared_from_this<http_connection> {
 public:
@@ -33,35 +33,35 @@
     boost::asio::awaitable<error_code> connect(boost::asio::ip::tcp::endpoint endpoint);
     /// Begins to send the bytes of a request and returns at once.
     void startWrite(std::string head, std::shared_ptr<const std::string> body, bool isHeadMethod);
-    /// Reads the head of the next answer.
+    /// Reads the head of the next response.
     boost::asio::awaitable<error_code> readHead();
     /// Reads some of the body and appends it to `bytes`; may add nothing.
     boost::asio::awaitable<error_code> readBody(std::string& bytes);
-    /// Skips the answer whose head was read: it belongs to an earlier request.
-    boost::asio::awaitable<error_code> skipAnswer();
+    /// Skips the response whose head was read: it belongs to an earlier request.
+    boost::asio::awaitable<error_code> skipResponse();
 
     /// Precondition: readHead() succeeded.
     const head_type& head() const { return m_parser->get().base(); }
-    /// The answer is whole.
+    /// The response is whole.
     bool isDone() const { return m_parser && m_parser->is_done(); }
     /// Whether another request may go over this connection: all that was sent and received belongs to whole
     /// messages, and neither side closes.
     bool isReusable() const;
-    /// Nothing has arrived since the last answer and the other side has not closed.
-    bool isQuiet();
+    /// Nothing has arrived since the last response and the other side has not closed.
+    bool isIdleAndOpen();
     void close();
     /// Closes with a reset: what the kernel has not sent yet is dropped. Behind a full link or a cut a
     /// request would else reach its server seconds after it was given up.
-    void abandon();
+    void abort();
 
     utils::time_point idleSince {}; ///< for the pool
-    utils::time_point heardAt {}; ///< when bytes last came
+    utils::time_point lastReceivedAt {}; ///< when bytes last came
     std::optional<utils::duration> idleLimit; ///< the other side closes after this
 
 private:
     boost::asio::awaitable<error_code> receive();
     error_code feed();
-    void startAnswer();
+    void startResponse();
 
     boost::asio::ip::tcp::socket m_socket;
     std::string m_received;
--- a/src/libs/gateway/nodemetrics.cpp
+++ b/src/libs/gateway/nodemetrics.cpp
@@ -104,10 +104,10 @@
     d->firstEvents.Add({ { "service", str(service) } }, secondsBuckets).Observe(utils::toSeconds(took));
 }
 
-void node_metrics::countAttempt(std::string_view service, attempt_end end, bool isRepeat)
+void node_metrics::countAttempt(std::string_view service, attempt_outcome end, bool isRetry)
 {
     d->attempts.Add({ { "service", str(service) }, { "end", str(toString(end)) } }).Increment();
-    if (isRepeat)
+    if (isRetry)
         d->repeats.Add({ { "service", str(service) } }).Increment();
 }
 
--- a/src/libs/gateway/nodemetrics.h
+++ b/src/libs/gateway/nodemetrics.h
@@ -46,7 +46,7 @@
     /// The first event of a stream went out.
     void countFirstEvent(std::string_view service, utils::duration took);
     /// One attempt at a backend server has ended.
-    void countAttempt(std::string_view service, attempt_end end, bool isRepeat);
+    void countAttempt(std::string_view service, attempt_outcome end, bool isRetry);
     void countStoreCall(store_status status);
     void countBeat(bool isSent);
     void countViewFetch(std::string_view end);
--- a/src/libs/gateway/requestflow.h
+++ b/src/libs/gateway/requestflow.h
@@ -1,13 +1,13 @@
 #pragma once
 
-#include "answerrelay.h"
-#include "answerwriter.h"
 #include "attempt.h"
+#include "attempttracker.h"
 #include "clock.h"
 #include "flowresult.h"
 #include "requestlog.h"
 #include "requestplan.h"
-#include "serveruse.h"
+#include "responserelay.h"
+#include "responsewriter.h"
 #include "stopscope.h"
 #include "wireprotocol.h"
 
@@ -20,12 +20,12 @@
 namespace gateway {
 
 /// One request on its way: chooses a backend server, sends, tries again where the promises allow, and
-/// brings the answer back. Not thread safe.
+/// brings the response back. Not thread safe.
 template <wire_protocol Wire> class request_flow {
 public:
     /// Precondition: all outlive run().
     request_flow(node_context& context, const client_request& request, const request_plan& plan,
-        std::shared_ptr<stop_scope> scope, answer_writer& writer)
+        std::shared_ptr<stop_scope> scope, response_writer& writer)
         : m_context(context)
         , m_request(request)
         , m_plan(plan)
@@ -33,14 +33,14 @@
         , m_writer(writer)
         , m_record(plan.route->mayRepeat(), plan.route->maxAttempts)
         , m_number(context.nextNumber++)
-        , m_use(context, plan, m_number)
-        , m_relay({ context, request, plan, m_scope, writer, m_record, m_use, m_result })
+        , m_tracker(context, plan, m_number)
+        , m_relay({ context, request, plan, m_scope, writer, m_record, m_tracker, m_result })
     {
     }
 
     boost::asio::awaitable<flow_result> run()
     {
-        while (m_scope->reasonAt(now()) == stop_reason::None) {
+        while (m_scope->checkDeadline(now()) == stop_reason::None) {
             noteView();
             if (m_result.isViewTooOld)
                 break;
@@ -56,18 +56,18 @@
                 break;
             m_tried.insert(placement->server);
             const utils::time_point startedAt = now();
-            m_result.last = co_await tryServer(placement->server);
-            if (m_result.last != attempt_end::Answered)
+            m_result.lastOutcome = co_await tryServer(placement->server);
+            if (m_result.lastOutcome != attempt_outcome::Answered)
                 logFailedAttempt(m_request, describeFailure(startedAt));
-            m_context.metrics.countAttempt(m_plan.service, m_result.last, m_record.isRepeat());
-            m_record.add(m_result.last);
-            if (!m_record.mayTryAgain() || m_result.isCut)
+            m_context.metrics.countAttempt(m_plan.service, m_result.lastOutcome, m_record.isRetry());
+            m_record.add(m_result.lastOutcome);
+            if (!m_record.mayRetry() || m_result.isTruncated)
                 break;
         }
         m_result.attempts = m_record.attempts();
-        m_result.stopped = m_scope->reason();
+        m_result.stopReason = m_scope->reason();
         m_result.events = m_relay.eventCount();
-        if (m_result.last != attempt_end::Answered)
+        if (m_result.lastOutcome != attempt_outcome::Answered)
             co_await endWithoutAnswer();
         co_return std::move(m_result);
     }
@@ -85,51 +85,52 @@
 
     failed_attempt describeFailure(utils::time_point startedAt)
     {
-        failed_attempt attempt { m_result.server, m_result.last };
+        failed_attempt attempt { m_result.server, m_result.lastOutcome };
         attempt.took = now() - startedAt;
-        if (m_record.isSent(m_result.last))
-            attempt.silentFor = m_use.silentFor(now());
+        if (m_record.isSent(m_result.lastOutcome))
+            attempt.silentFor = m_tracker.silentFor(now());
         attempt.repeatsLeft = m_context.repeatsOf(m_plan.service).left(now());
         attempt.viewAge = m_result.viewAge;
         attempt.viewBehind = m_result.viewBehind;
         return attempt;
     }
 
-    boost::asio::awaitable<attempt_end> tryServer(utils::server_id server)
+    boost::asio::awaitable<attempt_outcome> tryServer(utils::server_id server)
     {
         const http_connection_ptr connection = co_await connectionTo(server);
         if (!connection)
-            co_return attempt_end::NotSent;
-        if (m_scope->reasonAt(now()) != stop_reason::None) {
+            co_return attempt_outcome::NotSent;
+        if (m_scope->checkDeadline(now()) != stop_reason::None) {
             m_context.pool.put(server, connection, now());
-            co_return attempt_end::NotSent;
+            co_return attempt_outcome::NotSent;
         }
         // While this request waited for its connection the server may have begun to drain.
         noteView();
         const catalogue::backend_server* entry = m_context.servers.find(server);
         if (entry == nullptr || !m_context.servers.isUsable(server) || m_result.isViewTooOld) {
             m_context.pool.put(server, connection, now());
-            co_return attempt_end::NotSent;
+            co_return attempt_outcome::NotSent;
         }
         if (!countSend()) {
             m_context.pool.put(server, connection, now());
-            co_return attempt_end::NoRepeat;
+            co_return attempt_outcome::NoRepeat;
         }
         m_context.metrics.countViewAge(m_result.viewAge);
         m_result.serverDataCentre = entry->dataCentre;
         const copy_source source = copySource(m_context, m_plan, *entry, now());
         std::string head = Wire::encodeRequest(m_request, callTo(*entry, source));
-        m_use.begin(*entry, unreadTokens(source), m_result.placement, now());
+        m_tracker.begin(*entry, unreadTokens(source), m_result.placement, now());
         connection->startWrite(std::move(head), m_request.body, m_request.method == "HEAD");
-        m_relay.watchSilence(silenceBeforeAnswer(m_plan));
-        const attempt_end end = co_await m_relay.exchange(server, connection);
-        m_use.end(end, m_result.status, now());
-        m_scope->setExchange(nullptr);
-        if (end == attempt_end::Answered || end == attempt_end::NotRun || end == attempt_end::Failed)
+        m_relay.startTimeout(firstResponseTimeout(m_plan));
+        const attempt_outcome outcome = co_await m_relay.exchange(server, connection);
+        m_tracker.end(outcome, m_result.status, now());
+        m_scope->setConnection(nullptr);
+        if (outcome == attempt_outcome::Answered || outcome == attempt_outcome::NotRun
+            || outcome == attempt_outcome::Failed)
             m_context.pool.put(server, connection, now());
         else
-            connection->abandon();
-        co_return end;
+            connection->abort();
+        co_return outcome;
     }
 
     /// An open connection, or null when none could be had in time.
@@ -137,7 +138,7 @@
     {
         http_connection_ptr pooled = m_context.pool.take(server, now());
         if (pooled) {
-            m_scope->setExchange(pooled);
+            m_scope->setConnection(pooled);
             co_return pooled;
         }
         const catalogue::backend_server* entry = m_context.servers.find(server);
@@ -145,24 +146,24 @@
         if (!endpoint)
             co_return nullptr;
         const auto connection = std::make_shared<http_connection>(m_context.executor);
-        m_scope->setExchange(connection);
+        m_scope->setConnection(connection);
         const utils::time_point connectBy = now() + connectTime;
-        m_scope->watchSilence([connectBy](utils::time_point) { return connectBy; }, now());
+        m_scope->setTimeoutCheck([connectBy](utils::time_point) { return connectBy; }, now());
         const error_code error = co_await connection->connect(*endpoint);
         if (!error) {
-            m_scope->setExchange(connection); // ends the limit on connecting
+            m_scope->setConnection(connection); // ends the limit on connecting
             co_return connection;
         }
         if (m_scope->reason() == stop_reason::None)
             m_context.health.unreachable(server, now());
-        m_scope->setExchange(nullptr);
+        m_scope->setConnection(nullptr);
         co_return nullptr;
     }
 
     bool countSend()
     {
         decisions::repeat_allowance& repeats = m_context.repeatsOf(m_plan.service);
-        if (!m_record.isRepeat()) {
+        if (!m_record.isRetry()) {
             repeats.forwarded(now());
             return true;
         }
@@ -176,12 +177,12 @@
         return m_plan.promptTokens - std::min(m_plan.promptTokens, known);
     }
 
-    upstream_call callTo(const catalogue::backend_server& server, const copy_source& source)
+    server_request callTo(const catalogue::backend_server& server, const copy_source& source)
     {
-        upstream_call call;
+        server_request call;
         call.serverId = server.id.str();
         call.workspace = m_plan.workspace;
-        call.patience = std::max(utils::duration::zero(), m_plan.callerGivesUpAt - now());
+        call.callerTimeLeft = std::max(utils::duration::zero(), m_plan.callerDeadline - now());
         call.lastEventId = m_relay.lastEventId();
         call.priority = m_plan.urgency;
         call.isPrompt = m_plan.isEngine;
@@ -196,28 +197,28 @@
     /// Tells the caller what there is to tell.
     boost::asio::awaitable<void> endWithoutAnswer()
     {
-        if (m_result.stopped == stop_reason::CallerGone) {
+        if (m_result.stopReason == stop_reason::CallerGone) {
             m_result.failure = utils::makeFailure(utils::error_kind::CallerGone);
-            m_writer.endConnection();
+            m_writer.closeAfterResponse();
             co_return;
         }
         if (m_writer.hasBegun()) {
-            m_result.isCut = true;
+            m_result.isTruncated = true;
             m_result.failure = utils::makeFailure(utils::error_kind::AnswerCut);
-            m_writer.endConnection();
+            m_writer.closeAfterResponse();
             co_return;
         }
-        if (m_relay.hasKept()) {
-            const attempt_end end = co_await m_relay.deliverKept();
-            if (end == attempt_end::Answered) {
-                m_result.last = end;
+        if (m_relay.hasFallback()) {
+            const attempt_outcome outcome = co_await m_relay.sendFallback();
+            if (outcome == attempt_outcome::Answered) {
+                m_result.lastOutcome = outcome;
                 co_return;
             }
         }
-        utils::error_kind kind = m_record.finalKind();
+        utils::error_kind kind = m_record.finalErrorKind();
         if (m_result.isViewTooOld && m_record.hasProvablyNotRun())
             kind = utils::error_kind::NodeNotCurrent;
-        if (m_result.stopped == stop_reason::TimeUp) {
+        if (m_result.stopReason == stop_reason::DeadlineExceeded) {
             kind = m_record.hasProvablyNotRun() ? utils::error_kind::DeadlineUnreachable
                                                 : utils::error_kind::ServerTimeout;
         }
@@ -227,9 +228,9 @@
         if (m_result.refused)
             failure.retryAfter = m_result.refused->refusal.retryAfter;
         else if (utils::answerFor(kind).comeBack)
-            failure.retryAfter = comeBackAfter(kind, m_number);
+            failure.retryAfter = retryAfterFor(kind, m_number);
         m_result.failure = failure;
-        co_await m_writer.failure(failure);
+        co_await m_writer.writeFailure(failure);
     }
 
     // A SYN within a region is answered within 10 ms; one that is lost is sent again after a second.
@@ -239,13 +240,13 @@
     const client_request& m_request;
     const request_plan& m_plan;
     std::shared_ptr<stop_scope> m_scope;
-    answer_writer& m_writer;
+    response_writer& m_writer;
     attempt_record m_record;
     std::uint64_t m_number;
-    server_use m_use;
+    attempt_tracker m_tracker;
     std::set<utils::server_id> m_tried;
     flow_result m_result;
-    answer_relay<Wire> m_relay;
+    response_relay<Wire> m_relay;
 };
 
 } // namespace gateway
--- a/src/libs/gateway/requestlog.cpp
+++ b/src/libs/gateway/requestlog.cpp
@@ -32,7 +32,7 @@
         fields.push_back({ "evidence_ms", millisecondsText(now - context.evidenceAt) });
     fields.push_back({ "ms", millisecondsText(now - request.arrivedAt) });
     fields.push_back({ "attempts", std::to_string(result.attempts) });
-    fields.push_back({ "last", std::string(toString(result.last)) });
+    fields.push_back({ "last", std::string(toString(result.lastOutcome)) });
     if (plan.route != nullptr) {
         fields.push_back({ "view_age_ms", millisecondsText(result.viewAge) });
         fields.push_back({ "view_behind_ms", millisecondsText(result.viewBehind) });
@@ -53,7 +53,7 @@
     }
     if (result.events > 0) {
         fields.push_back({ "events", std::to_string(result.events) });
-        fields.push_back({ "first_ms", millisecondsText(result.toFirstEvent) });
+        fields.push_back({ "first_ms", millisecondsText(result.timeToFirstEvent) });
         fields.push_back({ "longest_gap_ms", millisecondsText(result.longestGap) });
     }
     if (!result.failure) {
@@ -63,10 +63,10 @@
     }
     fields.push_back({ "kind", std::string(utils::answerFor(result.failure->kind).name) });
     if (result.refused) {
-        fields.push_back({ "urgency", std::to_string(result.refused->asked.urgency) });
-        fields.push_back({ "slot_wait_ms", millisecondsText(result.refused->asked.slotWait) });
-        fields.push_back({ "queue_ms", millisecondsText(result.refused->asked.queueing) });
-        fields.push_back({ "expected_ms", millisecondsText(result.refused->asked.expectedAnswer) });
+        fields.push_back({ "urgency", std::to_string(result.refused->query.urgency) });
+        fields.push_back({ "slot_wait_ms", millisecondsText(result.refused->query.slotWait) });
+        fields.push_back({ "queue_ms", millisecondsText(result.refused->query.queueing) });
+        fields.push_back({ "expected_ms", millisecondsText(result.refused->query.expectedAnswer) });
         fields.push_back({ "limit_ms", millisecondsText(result.refused->limit) });
     }
     if (result.failure->retryAfter)
@@ -80,7 +80,7 @@
 {
     utils::logEvent(utils::event::AttemptFailed,
         { { "request", request.requestId }, { "server", attempt.server.str() },
-            { "end", std::string(toString(attempt.end)) }, { "ms", millisecondsText(attempt.took) },
+            { "end", std::string(toString(attempt.outcome)) }, { "ms", millisecondsText(attempt.took) },
             { "silent_ms", millisecondsText(attempt.silentFor) },
             { "repeats_left", std::to_string(static_cast<int>(attempt.repeatsLeft)) },
             { "view_age_ms", millisecondsText(attempt.viewAge) },
--- a/src/libs/gateway/requestlog.h
+++ b/src/libs/gateway/requestlog.h
@@ -10,12 +10,12 @@
 
 struct flow_result;
 
-/// What is told of an attempt that brought no answer.
+/// What is told of an attempt that brought no response.
 struct failed_attempt {
     utils::server_id server;
-    attempt_end end = attempt_end::NotSent;
+    attempt_outcome outcome = attempt_outcome::NotSent;
     utils::duration took {};
-    utils::duration silentFor {}; ///< since something of the answer came, or since it was sent
+    utils::duration silentFor {}; ///< since something of the response came, or since it was sent
     double repeatsLeft = 0; ///< of the service, on this node
     utils::duration viewAge {}; ///< of the view of the backend servers at the attempt
     utils::duration viewBehind {}; ///< since changes were known to be missing then
--- a/src/libs/gateway/requestplan.cpp
+++ b/src/libs/gateway/requestplan.cpp
@@ -13,7 +13,8 @@
 // A node that has heard nothing for so long may not know of routes and keys that are in force.
 // A watch of two seconds proves at its end what held at its start, so evidence is up to four seconds old.
 constexpr utils::duration evidenceLifetime = std::chrono::seconds(5);
-// Beyond its target a short answer is late anyway; half of the target more covers the slow tail of the work.
+// Beyond its target a short response is late anyway; half of the target more covers the slow tail of the
+// work.
 constexpr double shortSilenceFactor = 1.5;
 // A first event may take as long as the prompts before it; callers leave after four times the target.
 constexpr double firstEventFactor = 1.5;
@@ -122,9 +123,9 @@
         plan.copiesPrompts = copiesPay(*service->engine, plan.promptTokens, context.timesOf(plan.service));
         plan.parts = request.prompt;
     }
-    const utils::duration patience = request.patience.value_or(plan.route->timeout);
-    plan.callerGivesUpAt = request.arrivedAt + patience;
-    plan.giveUpAt = request.arrivedAt + std::min(patience, plan.route->timeout);
+    const utils::duration callerTimeout = request.callerTimeout.value_or(plan.route->timeout);
+    plan.callerDeadline = request.arrivedAt + callerTimeout;
+    plan.deadline = request.arrivedAt + std::min(callerTimeout, plan.route->timeout);
     return plan;
 }
 
@@ -163,7 +164,7 @@
     const std::uint32_t unread = plan.promptTokens - std::min(plan.promptTokens, chosen.heldTokens);
     query.expectedAnswer = query.slotWait + times.forecast(chosen.load.promptTokens + unread).expected();
     query.target = plan.route->targetLatency;
-    query.timeLeft = plan.giveUpAt - now;
+    query.timeLeft = plan.deadline - now;
     query.urgency = plan.urgency;
     query.hash = utils::hash64(request.requestId);
     const auto refusal = shedder.decide(query, now);
@@ -194,32 +195,32 @@
     return plan.isEngine ? plan.urgency : decisions::urgencies - 1;
 }
 
-bool hasElsewhere(const request_plan& plan)
+bool mayRetryElsewhere(const request_plan& plan)
 {
     return plan.route->mayRepeat() && plan.route->maxAttempts > 1;
 }
 
-utils::duration silenceBeforeAnswer(const request_plan& plan)
+utils::duration firstResponseTimeout(const request_plan& plan)
 {
     const bool isStream = plan.route->kind == catalogue::request_kind::Stream;
     const double factor = isStream ? firstEventFactor : shortSilenceFactor;
     return utils::fromSeconds(utils::toSeconds(plan.route->targetLatency) * factor);
 }
 
-utils::duration silenceBetweenEvents(const request_plan& plan)
+utils::duration eventGapTimeout(const request_plan& plan)
 {
     const auto gap = utils::fromSeconds(utils::toSeconds(plan.route->targetGap) * eventGapFactor);
     return std::max(gap, leastEventGap);
 }
 
-utils::duration comeBackAfter(utils::error_kind kind, std::uint64_t salt)
+utils::duration retryAfterFor(utils::error_kind kind, std::uint64_t salt)
 {
     const utils::duration pause = pauseAfter(kind);
     const double part = utils::toUnitInterval(utils::combineHashes(salt, static_cast<std::uint64_t>(kind)));
     return utils::fromSeconds(utils::toSeconds(pause) * (1 + spread * part));
 }
 
-void noteCrash(node_context& context, const utils::server_id& server, utils::time_point now)
+void recordCrash(node_context& context, const utils::server_id& server, utils::time_point now)
 {
     std::vector<decisions::body_digest> suspects;
     std::uint64_t bornAt = 0;
--- a/src/libs/gateway/requestplan.h
+++ b/src/libs/gateway/requestplan.h
@@ -24,8 +24,8 @@
     decisions::body_digest digest; ///< of what would crash a server again
     std::vector<decisions::shared_part> parts; ///< of the prompt
     std::uint32_t promptTokens = 0;
-    utils::time_point giveUpAt {};
-    utils::time_point callerGivesUpAt {};
+    utils::time_point deadline {};
+    utils::time_point callerDeadline {};
 };
 
 /// Looks route, key and service up. Fails with UnknownRoute, UnknownTeam, NodeNotCurrent, ShuttingDown or
@@ -40,7 +40,7 @@
 /// A refusal for overload, with what decided it.
 struct overload_refusal {
     decisions::refusal refusal;
-    decisions::shed_query asked;
+    decisions::shed_query query;
     utils::duration limit {}; ///< of the time in queues
 };
 
@@ -61,17 +61,17 @@
     const catalogue::backend_server& chosen, utils::time_point now);
 
 /// How long an attempt may stay silent before it is tried elsewhere, though its server is heard.
-utils::duration silenceBeforeAnswer(const request_plan& plan);
-utils::duration silenceBetweenEvents(const request_plan& plan);
+utils::duration firstResponseTimeout(const request_plan& plan);
+utils::duration eventGapTimeout(const request_plan& plan);
 /// The urgency by which a server lets the request pass others: plain services know none.
 int queueUrgency(const request_plan& plan);
 /// Whether there is an elsewhere for a request that was sent and has perhaps run.
-bool hasElsewhere(const request_plan& plan);
+bool mayRetryElsewhere(const request_plan& plan);
 
 /// When a refused caller should come back.
-utils::duration comeBackAfter(utils::error_kind kind, std::uint64_t salt);
+utils::duration retryAfterFor(utils::error_kind kind, std::uint64_t salt);
 
 /// Other nodes and requests must know of a crash: strikes against all that ran there.
-void noteCrash(node_context& context, const utils::server_id& server, utils::time_point now);
+void recordCrash(node_context& context, const utils::server_id& server, utils::time_point now);
 
 } // namespace gateway
--- a/src/libs/gateway/answerwriter.cpp
+++ b/src/libs/gateway/responsewriter.cpp
@@ -1,4 +1,4 @@
-#include "answerwriter.h"
+#include "responsewriter.h"
 
 #include "headerlines.h"
 
@@ -33,7 +33,7 @@
 
 } // namespace
 
-std::string answer_writer::headOf(int status, const std::vector<header_line>& headers) const
+std::string response_writer::headOf(int status, const std::vector<header_line>& headers) const
 {
     std::string head = "HTTP/1.1 " + std::to_string(status) + ' ';
     head += boost::beast::http::obsolete_reason(
@@ -46,9 +46,10 @@
     return head;
 }
 
-asio::awaitable<bool> answer_writer::whole(const server_answer& answer, std::string body, bool hasBody)
+asio::awaitable<bool> response_writer::writeWhole(
+    const server_response& response, std::string body, bool hasBody)
 {
-    std::string bytes = headOf(answer.status, answer.passedOn);
+    std::string bytes = headOf(response.status, response.forwardedHeaders);
     if (hasBody)
         appendHeader(bytes, "Content-Length", std::to_string(body.size()));
     bytes += "\r\n";
@@ -56,12 +57,12 @@
     co_return co_await write(std::move(bytes));
 }
 
-asio::awaitable<bool> answer_writer::part(const server_answer& answer, std::string_view bytes)
+asio::awaitable<bool> response_writer::writePart(const server_response& response, std::string_view bytes)
 {
     std::string chunk;
     if (!m_hasBegun) {
         m_isStream = true;
-        chunk = headOf(answer.status, answer.passedOn);
+        chunk = headOf(response.status, response.forwardedHeaders);
         appendHeader(chunk, "Transfer-Encoding", "chunked");
         chunk += "\r\n";
     }
@@ -74,13 +75,13 @@
     co_return co_await write(std::move(chunk));
 }
 
-asio::awaitable<bool> answer_writer::end()
+asio::awaitable<bool> response_writer::writeEnd()
 {
     std::string lastChunk(chunkEnd);
     co_return co_await write(std::move(lastChunk));
 }
 
-std::string answer_writer::failureBytes(const utils::failure& failure) const
+std::string response_writer::failureBytes(const utils::failure& failure) const
 {
     std::vector<header_line> headers { { "Content-Type", "application/problem+json" } };
     if (!m_requestId.empty())
@@ -92,13 +93,13 @@
     return headOf(utils::answerFor(failure.kind).httpStatus, headers) + "\r\n" + body;
 }
 
-asio::awaitable<bool> answer_writer::failure(const utils::failure& failure)
+asio::awaitable<bool> response_writer::writeFailure(const utils::failure& failure)
 {
     std::string bytes = failureBytes(failure);
     co_return co_await write(std::move(bytes));
 }
 
-asio::awaitable<bool> answer_writer::write(std::string bytes)
+asio::awaitable<bool> response_writer::write(std::string bytes)
 {
     m_hasBegun = true;
     const boost::system::error_code error = co_await m_connection.write(std::move(bytes));
--- a/src/libs/gateway/textserver.cpp
+++ b/src/libs/gateway/textserver.cpp
@@ -56,7 +56,7 @@
 asio::awaitable<void> text_server::serve(asio::ip::tcp::socket socket)
 {
     const auto self = shared_from_this();
-    limitSilence(socket, silenceLimit);
+    setTcpUserTimeout(socket, silenceLimit);
     boost::beast::flat_buffer buffer;
     while (true) {
         http::request<http::empty_body> request;
--- a/src/libs/gateway/wireprotocol.h
+++ b/src/libs/gateway/wireprotocol.h
@@ -14,7 +14,7 @@
 template <class Wire>
 concept wire_protocol = requires(const boost::beast::http::request_header<>& requestHead,
     const boost::beast::http::response_header<>& answerHead, const client_request& request,
-    const upstream_call& call)
+    const server_request& call)
 {
     {
         Wire::decodeRequest(requestHead)
@@ -23,8 +23,8 @@
         Wire::encodeRequest(request, call)
         } -> std::same_as<std::string>;
     {
-        Wire::decodeAnswer(answerHead)
-        } -> std::same_as<server_answer>;
+        Wire::decodeResponse(answerHead)
+        } -> std::same_as<server_response>;
     {
         Wire::requestIdName()
         } -> std::convertible_to<std::string_view>;
--- a/tests/auto/gateway/tst_eventscanner.cpp
+++ b/tests/auto/gateway/tst_eventscanner.cpp
@@ -72,12 +72,12 @@
     event_scanner scanner;
     const std::string piece(65536, 'x');
     std::size_t taken = 0;
-    while (scanner.fault() == stream_fault::None && taken < 2 * event_scanner::largestEvent) {
+    while (scanner.fault() == stream_fault::None && taken < 2 * event_scanner::maxEventBytes) {
         BOOST_TEST(scanner.take(piece).empty());
         taken += piece.size();
     }
     BOOST_TEST((scanner.fault() == stream_fault::TooLong));
-    BOOST_TEST(taken <= event_scanner::largestEvent + piece.size());
+    BOOST_TEST(taken <= event_scanner::maxEventBytes + piece.size());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/gateway/tst_httpcaller.cpp
+++ b/tests/auto/gateway/tst_httpcaller.cpp
@@ -1,5 +1,5 @@
 #include "gateway/clock.h"
-#include "gateway/httpcaller.h"
+#include "gateway/httpclient.h"
 
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/buffer.hpp>
@@ -25,8 +25,8 @@
 struct slow_server {
     asio::io_context io;
     tcp::acceptor acceptor { io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0) };
-    gateway::http_caller caller { io.get_executor(), acceptor.local_endpoint() };
-    std::optional<gateway::call_answer> answer;
+    gateway::http_client caller { io.get_executor(), acceptor.local_endpoint() };
+    std::optional<gateway::call_response> answer;
 
     asio::awaitable<void> serve(int pieces, int sent, utils::duration pause)
     {
--- a/tests/auto/gateway/tst_httpconnection.cpp
+++ b/tests/auto/gateway/tst_httpconnection.cpp
@@ -73,9 +73,9 @@
 BOOST_FIXTURE_TEST_CASE(a_request_that_is_given_up_is_not_delivered_any_more, full_connection)
 {
     auto scope = std::make_shared<gateway::stop_scope>(io.get_executor());
-    scope->setExchange(connection);
+    scope->setConnection(connection);
     send();
-    scope->stop(gateway::stop_reason::TimeUp);
+    scope->stop(gateway::stop_reason::DeadlineExceeded);
     BOOST_TEST(arriving() < bodySize);
 }
 
@@ -85,9 +85,9 @@
 {
     const utils::time_point start = utils::time_point {} + 1h;
     auto scope = std::make_shared<gateway::stop_scope>(io.get_executor());
-    scope->limitUntil(start + 2s, start);
-    BOOST_TEST((scope->reasonAt(start + 1999ms) == gateway::stop_reason::None));
-    BOOST_TEST((scope->reasonAt(start + 2s) == gateway::stop_reason::TimeUp));
+    scope->setDeadline(start + 2s, start);
+    BOOST_TEST((scope->checkDeadline(start + 1999ms) == gateway::stop_reason::None));
+    BOOST_TEST((scope->checkDeadline(start + 2s) == gateway::stop_reason::DeadlineExceeded));
     scope->finish();
 }
 
--- a/tests/auto/platform/tst_requestcodec.cpp
+++ b/tests/auto/platform/tst_requestcodec.cpp
@@ -34,7 +34,7 @@
             { "Last-Event-Id", "12" }, { "Lycheefront-Token-Usage", "1460,80" },
             { "Lycheefront-Prompt-Prefix", "5c1e07a2:800, 91bd3f06:410" } }));
     BOOST_TEST(request.requestId == "9c41");
-    BOOST_TEST((request.patience == std::optional<utils::duration>(1500ms)));
+    BOOST_TEST((request.callerTimeout == std::optional<utils::duration>(1500ms)));
     BOOST_TEST(request.key == "secret");
     BOOST_TEST(request.lastEventId.value() == 12u);
     BOOST_TEST(request.promptTokens == 1460u);
@@ -51,10 +51,10 @@
         { "Lycheefront-Tenant", "other" }, { "lycheefront-hold", "7" }, { "Kv-From", "10.0.0.1:1/h" },
         { "Kv-Fetch", "10.0.0.1:1" }, { "Lycheefront-Request-Priority", "0" },
         { "Transfer-Encoding", "chunked" }, { "Lycheefront-Model", "m" }, { "X-Other", "kept" } }));
-    gateway::upstream_call call;
+    gateway::server_request call;
     call.serverId = "i-1";
     call.workspace = "team";
-    call.patience = 1200ms;
+    call.callerTimeLeft = 1200ms;
     call.priority = 12;
     call.isPrompt = true;
     const std::string head = request_codec::encodeRequest(request, call);
@@ -78,7 +78,7 @@
     const auto request = request_codec::decodeRequest(headOf({ { "Lycheefront-Deadline-Ms", "-5" },
         { "Last-Event-Id", "twelve" }, { "Lycheefront-Token-Usage", "many" },
         { "Lycheefront-Prompt-Prefix", "zz:1,:,5:,6:7" }, { "Authorization", "Basic abc" } }));
-    BOOST_TEST(!request.patience.has_value());
+    BOOST_TEST(!request.callerTimeout.has_value());
     BOOST_TEST(!request.lastEventId.has_value());
     BOOST_TEST(request.promptTokens == 0u);
     BOOST_REQUIRE(request.prompt.size() == 1u);
@@ -95,24 +95,24 @@
     head.insert("Lycheefront-Server-Load", "3,1,8");
     head.insert("Keep-Alive", "timeout=5, max=3");
     head.insert("Content-Length", "3");
-    const auto answer = request_codec::decodeAnswer(head);
+    const auto answer = request_codec::decodeResponse(head);
     BOOST_TEST(answer.isSigned);
     BOOST_TEST(!answer.isNotExecuted);
     BOOST_TEST(answer.load->waiting == 1u);
     BOOST_TEST((answer.idleLimit == std::optional<utils::duration>(5s)));
-    BOOST_TEST(answer.passedOn.size() == 2u);
+    BOOST_TEST(answer.forwardedHeaders.size() == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(only_the_mark_and_421_say_not_run)
 {
     request_codec::answer_head head;
     head.result(503);
-    BOOST_TEST(!request_codec::decodeAnswer(head).isNotExecuted);
+    BOOST_TEST(!request_codec::decodeResponse(head).isNotExecuted);
     head.insert("Lycheefront-Not-Executed", "1");
-    BOOST_TEST(request_codec::decodeAnswer(head).isNotExecuted);
+    BOOST_TEST(request_codec::decodeResponse(head).isNotExecuted);
     request_codec::answer_head misdirected;
     misdirected.result(421);
-    BOOST_TEST(request_codec::decodeAnswer(misdirected).isNotExecuted);
+    BOOST_TEST(request_codec::decodeResponse(misdirected).isNotExecuted);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
