--- a/src/libs/decisions/admission.cpp
+++ b/src/libs/decisions/admission.cpp
@@ -8,15 +8,15 @@
 namespace {
 
 // Retry-After is in whole seconds: a narrower window would send everyone back in the same one.
-constexpr double leastWindow = 2;
+constexpr double minRetryWindowSeconds = 2;
 // Callers do not come back after minutes; a longer time would only be a refusal in other words.
-constexpr double longestWindow = 60;
+constexpr double maxRetryWindowSeconds = 60;
 // Seconds. Longer than a burst, so that the burst itself does not count as the usual load.
-constexpr double averagingTime = 60;
+constexpr double loadAveragingSeconds = 60;
 // Under lasting saturation nothing is spare; some callers leave all the same.
-constexpr double leastSpare = 0.1;
-constexpr double leastRate = 1e-6;
-constexpr utils::duration leastRetryAfter = std::chrono::seconds(1);
+constexpr double minSpareFraction = 0.1;
+constexpr double minTrackedRate = 1e-6;
+constexpr utils::duration minRetryAfter = std::chrono::seconds(1);
 
 } // namespace
 
@@ -35,7 +35,7 @@
         && now + query.estimatedWait + entry.expectedWork > entry.deadline;
     if (!isTooLong && !isTooLate) {
         advance(query.drainRate, now);
-        const double rate = utils::toSeconds(entry.expectedWork) / averagingTime;
+        const double rate = utils::toSeconds(entry.expectedWork) / loadAveragingSeconds;
         m_admitted.at(static_cast<std::size_t>(entry.priority))[entry.team] += rate;
         m_admittedRate += rate;
         return std::nullopt;
@@ -49,8 +49,9 @@
 {
     advance(query.drainRate, now);
     m_refusedWork += utils::toSeconds(query.entry.expectedWork);
-    const double window = std::clamp(m_refusedWork / spareRate(query.drainRate), leastWindow, longestWindow);
-    const utils::duration base = std::max(query.estimatedWait, leastRetryAfter);
+    const double window = std::clamp(
+        m_refusedWork / spareRate(query.drainRate), minRetryWindowSeconds, maxRetryWindowSeconds);
+    const utils::duration base = std::max(query.estimatedWait, minRetryAfter);
     return { kind, spreadRetryAfter(base, utils::fromSeconds(window), query.entry.hash) };
 }
 
@@ -59,21 +60,21 @@
     // Those who will go ahead while it waits: higher classes, and teams lighter than its own.
     const auto own = static_cast<std::size_t>(query.entry.priority);
     const auto ownRate = m_admitted.at(own).find(query.entry.team);
-    const double heaviest = ownRate == m_admitted.at(own).end() ? 0 : ownRate->second;
+    const double ownTeamRate = ownRate == m_admitted.at(own).end() ? 0 : ownRate->second;
     double overtaking = 0;
     for (std::size_t index = 0; index <= own; ++index) {
         for (const auto& [team, rate] : m_admitted.at(index)) {
-            if (index < own || rate < heaviest)
+            if (index < own || rate < ownTeamRate)
                 overtaking += rate;
         }
     }
-    const double left = std::max(1 - overtaking / query.drainRate, leastSpare);
+    const double left = std::max(1 - overtaking / query.drainRate, minSpareFraction);
     return utils::fromSeconds(utils::toSeconds(query.estimatedWait) / left);
 }
 
 double admission::spareRate(double drainRate) const
 {
-    return std::max(drainRate - m_admittedRate, leastSpare * drainRate);
+    return std::max(drainRate - m_admittedRate, minSpareFraction * drainRate);
 }
 
 void admission::advance(double drainRate, utils::time_point now)
@@ -81,12 +82,12 @@
     if (m_advancedAt) {
         const double elapsed = utils::toSeconds(now - *m_advancedAt);
         m_refusedWork = std::max(m_refusedWork - spareRate(drainRate) * elapsed, 0.0);
-        const double decay = std::exp(-elapsed / averagingTime);
+        const double decay = std::exp(-elapsed / loadAveragingSeconds);
         m_admittedRate *= decay;
         for (auto& rates : m_admitted) {
             for (auto& [team, rate] : rates)
                 rate *= decay;
-            std::erase_if(rates, [](const auto& team) { return team.second < leastRate; });
+            std::erase_if(rates, [](const auto& team) { return team.second < minTrackedRate; });
         }
     }
     m_advancedAt = now;
--- a/src/libs/decisions/copygate.cpp
+++ b/src/libs/decisions/copygate.cpp
@@ -4,18 +4,18 @@
 
 bool copy_gate::tryBegin(std::size_t bytes)
 {
-    if (bytes <= small)
+    if (bytes <= alwaysAllowedBytes)
         return true;
-    if (m_underWay > 0 && m_underWay + bytes > most)
+    if (m_inFlightBytes > 0 && m_inFlightBytes + bytes > maxConcurrentBytes)
         return false;
-    m_underWay += bytes;
+    m_inFlightBytes += bytes;
     return true;
 }
 
 void copy_gate::end(std::size_t bytes)
 {
-    if (bytes > small)
-        m_underWay -= bytes;
+    if (bytes > alwaysAllowedBytes)
+        m_inFlightBytes -= bytes;
 }
 
 } // namespace decisions
--- a/src/libs/decisions/copygate.h
+++ b/src/libs/decisions/copygate.h
@@ -17,15 +17,15 @@
     bool tryBegin(std::size_t bytes);
     void end(std::size_t bytes);
     /// Whether even the smallest copy that counts would be turned away.
-    bool isFull() const { return m_underWay >= most; }
+    bool isFull() const { return m_inFlightBytes >= maxConcurrentBytes; }
 
     /// Bytes of the copies that are under way together; a larger one goes alone.
-    static constexpr std::size_t most = 125000;
+    static constexpr std::size_t maxConcurrentBytes = 125000;
     /// Bytes up to which a copy is handed out at any time: news of a few servers.
-    static constexpr std::size_t small = 16384;
+    static constexpr std::size_t alwaysAllowedBytes = 16384;
 
 private:
-    std::size_t m_underWay = 0; ///< bytes
+    std::size_t m_inFlightBytes = 0; ///< bytes
 };
 
 } // namespace decisions
--- a/src/libs/decisions/fairqueue.cpp
+++ b/src/libs/decisions/fairqueue.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr double leastWeight = 0.001;
-constexpr double leastDrainRate = 0.001;
-constexpr utils::duration noServer = std::chrono::hours(24 * 365);
-constexpr utils::duration tick { 1 };
+constexpr double minWeight = 0.001;
+constexpr double minDrainRate = 0.001;
+constexpr utils::duration waitWithoutServers = std::chrono::hours(24 * 365);
+constexpr utils::duration expiryResolution { 1 };
 
 double weightedWork(const queue_entry& entry)
 {
-    return utils::toSeconds(entry.expectedWork) / std::max(entry.weight, leastWeight);
+    return utils::toSeconds(entry.expectedWork) / std::max(entry.weight, minWeight);
 }
 
 } // namespace
@@ -28,13 +28,13 @@
 
 std::optional<refusal> fair_queue::push(const queue_entry& entry, utils::time_point now)
 {
-    LF_ASSERT(!m_places.contains(entry.id) && !m_running.contains(entry.id),
+    LF_ASSERT(!m_positions.contains(entry.id) && !m_running.contains(entry.id),
         return m_admission.refuse(utils::error_kind::Internal, queryFor(entry, now), now));
-    if (m_limits.sheds) {
+    if (m_limits.shedsLoad) {
         if (const auto refused = m_admission.decide(queryFor(entry, now), now))
             return refused;
     }
-    if (m_places.size() >= m_limits.maxEntries && !makeRoom(entry))
+    if (m_positions.size() >= m_limits.maxEntries && !makeRoom(entry))
         return m_admission.refuse(utils::error_kind::QueueFull, queryFor(entry, now), now);
     insert(entry, now);
     return std::nullopt;
@@ -47,7 +47,7 @@
     class_queue& queue = m_queues.at(index);
     queue.items.emplace(key, item { entry, startBy(entry, now) });
     queue.finishTags[entry.team] = key.start + weightedWork(entry);
-    m_places[entry.id] = { index, key };
+    m_positions[entry.id] = { index, key };
     ++m_sequence;
 }
 
@@ -62,7 +62,7 @@
             m_evicted.push_back({ head.entry, utils::error_kind::DeadlineUnreachable });
             continue;
         }
-        chargeGuarantees(*index, utils::toSeconds(head.entry.expectedWork));
+        updateGuarantees(*index, utils::toSeconds(head.entry.expectedWork));
         m_running[head.entry.id] = { *index, key, head };
         m_rate.started(head.entry.id, head.entry.expectedWork, now);
         return head.entry;
@@ -70,10 +70,10 @@
     return std::nullopt;
 }
 
-void fair_queue::finished(entry_id id, utils::time_point now, bool isWhole)
+void fair_queue::finished(entry_id id, utils::time_point now, bool isComplete)
 {
     m_running.erase(id);
-    m_rate.finished(id, now, isWhole);
+    m_rate.finished(id, now, isComplete);
 }
 
 void fair_queue::putBack(entry_id id)
@@ -84,13 +84,13 @@
     const running_entry returned = found->second;
     m_running.erase(found);
     m_rate.cancelled(id);
-    m_queues.at(returned.queue).items.emplace(returned.key, returned.origin);
-    m_places[id] = { returned.queue, returned.key };
+    m_queues.at(returned.queue).items.emplace(returned.key, returned.queued);
+    m_positions[id] = { returned.queue, returned.key };
 }
 
 bool fair_queue::remove(entry_id id)
 {
-    if (!m_places.contains(id))
+    if (!m_positions.contains(id))
         return false;
     takeOut(id);
     return true;
@@ -98,7 +98,7 @@
 
 std::vector<refused_entry> fair_queue::expire(utils::time_point now)
 {
-    for (const entry_id id : hopeless(now))
+    for (const entry_id id : findLateEntries(now))
         m_evicted.push_back({ takeOut(id), utils::error_kind::DeadlineUnreachable });
 
     std::vector<refused_entry> result;
@@ -111,7 +111,7 @@
     return result;
 }
 
-std::vector<entry_id> fair_queue::hopeless(utils::time_point now) const
+std::vector<entry_id> fair_queue::findLateEntries(utils::time_point now) const
 {
     std::vector<entry_id> result;
     slot_forecast forecast = forecastNow(now);
@@ -154,13 +154,13 @@
         for (const auto& [key, waiting] : queue.items)
             earliest = std::min(earliest, waiting.startBy);
     }
-    return earliest == utils::time_point::max() ? earliest : earliest + tick;
+    return earliest == utils::time_point::max() ? earliest : earliest + expiryResolution;
 }
 
 utils::duration fair_queue::estimatedWait(const queue_entry& entry, utils::time_point now) const
 {
     if (m_limits.slots == 0)
-        return noServer;
+        return waitWithoutServers;
     slot_forecast forecast = forecastNow(now);
     const std::size_t own = classOf(entry);
     const order_key ownKey = keyFor(entry);
@@ -180,7 +180,7 @@
 
 double fair_queue::drainRate(utils::time_point now) const
 {
-    return std::max(static_cast<double>(m_limits.slots) / m_rate.slowdown(now), leastDrainRate);
+    return std::max(static_cast<double>(m_limits.slots) / m_rate.slowdown(now), minDrainRate);
 }
 
 std::size_t fair_queue::size(priority_class priority) const
@@ -190,7 +190,7 @@
 
 std::size_t fair_queue::classOf(const queue_entry& entry) const
 {
-    return m_limits.isClassed ? static_cast<std::size_t>(entry.priority) : 0;
+    return m_limits.hasPriorityClasses ? static_cast<std::size_t>(entry.priority) : 0;
 }
 
 fair_queue::order_key fair_queue::keyFor(const queue_entry& entry) const
@@ -205,7 +205,7 @@
 
 utils::time_point fair_queue::startBy(const queue_entry& entry, utils::time_point now) const
 {
-    if (!m_limits.sheds)
+    if (!m_limits.shedsLoad)
         return utils::time_point::max();
     const auto longest = m_limits.admission.maxWait.at(static_cast<std::size_t>(entry.priority));
     return std::min(now + longest, entry.deadline - entry.expectedWork);
@@ -237,7 +237,7 @@
     return urgent;
 }
 
-void fair_queue::chargeGuarantees(std::size_t served, double work)
+void fair_queue::updateGuarantees(std::size_t served, double work)
 {
     for (std::size_t index = 0; index < classes; ++index) {
         class_queue& queue = m_queues.at(index);
@@ -260,14 +260,14 @@
 {
     if (!m_limits.isFair)
         return false;
-    const auto victim = victimFor(entry);
+    const auto victim = evictionCandidate(entry);
     if (!victim)
         return false;
     m_evicted.push_back({ takeOut(*victim), utils::error_kind::QueueFull });
     return true;
 }
 
-std::optional<entry_id> fair_queue::victimFor(const queue_entry& entry) const
+std::optional<entry_id> fair_queue::evictionCandidate(const queue_entry& entry) const
 {
     const std::size_t own = classOf(entry);
     for (std::size_t index = classes; index-- > own;) {
@@ -291,13 +291,13 @@
 
 queue_entry fair_queue::takeOut(entry_id id)
 {
-    const auto found = m_places.find(id);
-    LF_ASSERT(found != m_places.end(), return {});
+    const auto found = m_positions.find(id);
+    LF_ASSERT(found != m_positions.end(), return {});
     class_queue& queue = m_queues.at(found->second.queue);
     const auto waiting = queue.items.find(found->second.key);
     queue_entry entry = waiting->second.entry;
     queue.items.erase(waiting);
-    m_places.erase(found);
+    m_positions.erase(found);
     if (queue.items.empty())
         queue.finishTags.clear();
     return entry;
--- a/src/libs/decisions/fairqueue.h
+++ b/src/libs/decisions/fairqueue.h
@@ -26,8 +26,8 @@
     /// Part of the work that a class gets at least while it has entries: drafts wait, but go on.
     std::array<double, static_cast<std::size_t>(priority_class::Count_)> guarantee { 0.0, 0.15, 0.05 };
     bool isFair = true; ///< false: one queue in order of arrival (the bench shows what that costs)
-    bool isClassed = true; ///< false: all entries as if of one class, no ceilings
-    bool sheds = true; ///< false: no admission by estimated wait
+    bool hasPriorityClasses = true; ///< false: all entries as if of one class, no ceilings
+    bool shedsLoad = true; ///< false: no admission by estimated wait
 };
 
 /// An entry that leaves the queue without having run.
@@ -59,7 +59,7 @@
     /// class may use are taken.
     std::optional<queue_entry> takeNext(utils::time_point now);
     /// A run has ended, whole or not. An unknown id is ignored.
-    void finished(entry_id id, utils::time_point now, bool isWhole = true);
+    void finished(entry_id id, utils::time_point now, bool isComplete = true);
     /// Undoes takeNext for an entry that could not be dispatched after all: it waits on in its old place and
     /// with its old limit, without being asked in again. An unknown id is ignored.
     void putBack(entry_id id);
@@ -80,7 +80,7 @@
     utils::duration estimatedWait(const queue_entry& entry, utils::time_point now) const;
     /// Seconds of expected work that the servers finish in a second, as measured.
     double drainRate(utils::time_point now) const;
-    std::size_t size() const { return m_places.size(); }
+    std::size_t size() const { return m_positions.size(); }
     std::size_t size(priority_class priority) const;
     unsigned running() const { return static_cast<unsigned>(m_running.size()); }
 
@@ -108,9 +108,9 @@
     struct running_entry {
         std::size_t queue = 0;
         order_key key;
-        item origin;
+        item queued;
     };
-    struct place {
+    struct queue_position {
         std::size_t queue = 0;
         order_key key;
     };
@@ -125,11 +125,11 @@
     void insert(const queue_entry& entry, utils::time_point now);
     bool hasRoom(std::size_t queue) const;
     std::optional<std::size_t> nextClass() const;
-    void chargeGuarantees(std::size_t served, double work);
+    void updateGuarantees(std::size_t served, double work);
     bool makeRoom(const queue_entry& entry);
-    std::optional<entry_id> victimFor(const queue_entry& entry) const;
+    std::optional<entry_id> evictionCandidate(const queue_entry& entry) const;
     queue_entry takeOut(entry_id id);
-    std::vector<entry_id> hopeless(utils::time_point now) const;
+    std::vector<entry_id> findLateEntries(utils::time_point now) const;
     slot_forecast forecastNow(utils::time_point now) const;
     admission_query queryFor(const queue_entry& entry, utils::time_point now) const;
 
@@ -137,7 +137,7 @@
     admission m_admission;
     service_rate m_rate;
     std::array<class_queue, classes> m_queues;
-    std::unordered_map<entry_id, place> m_places;
+    std::unordered_map<entry_id, queue_position> m_positions;
     std::map<entry_id, running_entry> m_running;
     std::vector<evicted_entry> m_evicted;
     std::uint64_t m_sequence = 0;
--- a/src/libs/decisions/followrule.h
+++ b/src/libs/decisions/followrule.h
@@ -12,17 +12,17 @@
 struct follow_query {
     std::string ownName;
     std::vector<std::string> livePeers; ///< names
-    std::size_t followersHeard = 0; ///< peers in contact with the store, heard within `followerSilence`
+    std::size_t liveFollowers = 0; ///< peers in contact with the store, heard within `followerTimeout`
 };
 
 /// A follower that was not heard for so long does not count: beats come four times a second, and one in some
 /// hundred is lost. Short enough that a node cut off from all others reads a new configuration itself within
 /// the two seconds in which it must be in force.
-inline constexpr utils::duration followerSilence = std::chrono::milliseconds(700);
+inline constexpr utils::duration followerTimeout = std::chrono::milliseconds(700);
 /// Nodes that follow the store in a calm fleet. Small fleets do it with all nodes.
-inline constexpr std::size_t wantedFollowers = 8;
+inline constexpr std::size_t targetFollowers = 8;
 /// A node that hears fewer followers follows the store itself: one alone may have lost the store unawares.
-inline constexpr std::size_t enoughFollowers = 2;
+inline constexpr std::size_t minFollowers = 2;
 
 /// Whether a node should follow the store itself, or rely on peers that do.
 ///
@@ -37,11 +37,11 @@
 /// followers are heard only theirs does: a node that the store turns away takes itself for one in an outage,
 /// in which entries that went are kept for a while, and its copies would make the whole fleet keep them.
 /// Thread safe.
-bool countsWord(bool isFollower, std::size_t followersHeard);
+bool isTrustedSource(bool isFollower, std::size_t liveFollowers);
 
 /// Before the store is asked again after so many failed calls in a row. The first is asked again soon, since
 /// a watch may just have been cut. Then it grows with the fleet: refused calls are paid for, and whoever
 /// finds the store first tells the others. Thread safe.
-utils::duration pauseAfterFailedCall(std::size_t nodes, unsigned failures);
+utils::duration storeRetryDelay(std::size_t nodes, unsigned failures);
 
 } // namespace decisions
--- a/src/libs/decisions/loadshedding.cpp
+++ b/src/libs/decisions/loadshedding.cpp
@@ -7,7 +7,7 @@
 
 namespace decisions {
 
-void load_shedder::seen(int urgency, utils::duration target)
+void load_shedder::recordTarget(int urgency, utils::duration target)
 {
     utils::duration& shortest = m_targets[urgencyIndex(urgency)];
     if (shortest == utils::duration::zero() || target < shortest)
@@ -16,17 +16,17 @@
 
 utils::duration load_shedder::limitFor(int urgency, utils::duration target) const
 {
-    const auto times = [](utils::duration value, double factor) {
+    const auto scaled = [](utils::duration value, double factor) {
         return utils::fromSeconds(utils::toSeconds(value) * factor);
     };
     std::optional<utils::duration> limit;
     for (std::size_t i = 0; i < urgencyIndex(urgency); ++i) {
         if (m_targets[i] == utils::duration::zero())
             continue;
-        limit = limit ? std::min(m_targets[i], times(*limit, stepDown))
-                      : times(m_targets[i], mostUrgentTargets);
+        limit = limit ? std::min(m_targets[i], scaled(*limit, limitStepFactor))
+                      : scaled(m_targets[i], mostUrgentLimitFactor);
     }
-    return limit ? std::min(target, times(*limit, stepDown)) : times(target, mostUrgentTargets);
+    return limit ? std::min(target, scaled(*limit, limitStepFactor)) : scaled(target, mostUrgentLimitFactor);
 }
 
 bool load_shedder::mustRefuse(const shed_query& query) const
@@ -42,7 +42,7 @@
 
 std::optional<refusal> load_shedder::decide(const shed_query& query, utils::time_point now)
 {
-    age(now);
+    decayCounts(now);
     if (!mustRefuse(query)) {
         ++m_admitted;
         return std::nullopt;
@@ -50,21 +50,21 @@
     ++m_refused;
     const bool isInTime = query.expectedAnswer < query.timeLeft;
     const auto kind = isInTime ? utils::error_kind::QueueFull : utils::error_kind::DeadlineUnreachable;
-    const utils::duration pause = std::max(shortestPause, backlogTime());
+    const utils::duration pause = std::max(minRetryAfter, backlogTime());
     return refusal { kind, spreadRetryAfter(pause, pause, query.hash) };
 }
 
 utils::duration load_shedder::backlogTime() const
 {
-    return utils::fromSeconds(utils::toSeconds(countingTime) * m_refused / std::max(1.0, m_admitted));
+    return utils::fromSeconds(utils::toSeconds(countDecayTime) * m_refused / std::max(1.0, m_admitted));
 }
 
-void load_shedder::age(utils::time_point now)
+void load_shedder::decayCounts(utils::time_point now)
 {
-    const double kept = std::exp(-utils::toSeconds(now - m_agedAt) / utils::toSeconds(countingTime));
+    const double kept = std::exp(-utils::toSeconds(now - m_decayedAt) / utils::toSeconds(countDecayTime));
     m_admitted *= kept;
     m_refused *= kept;
-    m_agedAt = now;
+    m_decayedAt = now;
 }
 
 } // namespace decisions
--- a/src/libs/decisions/loadshedding.h
+++ b/src/libs/decisions/loadshedding.h
@@ -35,19 +35,19 @@
 class load_shedder {
 public:
     /// Part of its target that the most urgent request may wait.
-    static constexpr double mostUrgentTargets = 3;
+    static constexpr double mostUrgentLimitFactor = 3;
     /// Limit of an urgency as a part of that of the next more urgent one, at most.
-    static constexpr double stepDown = 0.9;
+    static constexpr double limitStepFactor = 0.9;
     /// Multiples of the limit between which the share of refused requests grows from none to all.
     static constexpr double rampBegin = 0.7;
     static constexpr double rampEnd = 1.3;
     /// A refused caller is asked to stay away for that long at least.
-    static constexpr utils::duration shortestPause = std::chrono::milliseconds(300);
+    static constexpr utils::duration minRetryAfter = std::chrono::milliseconds(300);
     /// In which admitted and refused requests are counted, with less weight the older.
-    static constexpr utils::duration countingTime = std::chrono::seconds(5);
+    static constexpr utils::duration countDecayTime = std::chrono::seconds(5);
 
     /// A request of that urgency has come.
-    void seen(int urgency, utils::duration target);
+    void recordTarget(int urgency, utils::duration target);
     /// Nothing when the request is let in.
     std::optional<refusal> decide(const shed_query& query, utils::time_point now);
     /// How long requests of that urgency may queue.
@@ -57,12 +57,12 @@
     bool mustRefuse(const shed_query& query) const;
     /// How long it takes to serve what was refused of late at the rate at which requests are served.
     utils::duration backlogTime() const;
-    void age(utils::time_point now);
+    void decayCounts(utils::time_point now);
 
-    std::array<utils::duration, urgencies> m_targets {}; ///< the shortest seen by urgency; zero: none
+    std::array<utils::duration, urgencyLevels> m_targets {}; ///< the shortest seen by urgency; zero: none
     double m_admitted = 0; ///< requests, in the counting time
     double m_refused = 0; ///< the same
-    utils::time_point m_agedAt {};
+    utils::time_point m_decayedAt {};
 };
 
 } // namespace decisions
--- a/src/libs/decisions/poisonregister.cpp
+++ b/src/libs/decisions/poisonregister.cpp
@@ -31,9 +31,9 @@
 }
 
 void poison_register::crashed(
-    std::uint64_t crash, const std::vector<body_digest>& inFlight, utils::time_point now, bool isWhole)
+    std::uint64_t crash, const std::vector<body_digest>& inFlight, utils::time_point now, bool isExclusive)
 {
-    const bool wasAlone = isWhole && inFlight.size() == 1;
+    const bool wasAlone = isExclusive && inFlight.size() == 1;
     for (const body_digest& digest : inFlight)
         add({ digest, crash }, { wasAlone, false, now + m_limits.lifetime });
 }
@@ -66,10 +66,10 @@
         return poison_verdict::Run;
     if (wasAlone && crashes >= m_limits.crashes)
         return poison_verdict::Refuse;
-    if (m_limits.crashesInCompany > 0 && crashes >= m_limits.crashesInCompany)
+    if (m_limits.sharedCrashes > 0 && crashes >= m_limits.sharedCrashes)
         return poison_verdict::Refuse;
-    const bool isExcused = crashes == 1 && !wasAlone && isInMassFailure(*last);
-    return isExcused ? poison_verdict::Run : poison_verdict::RunAlone;
+    const bool isMassFailureOnly = crashes == 1 && !wasAlone && isInMassFailure(*last);
+    return isMassFailureOnly ? poison_verdict::Run : poison_verdict::RunAlone;
 }
 
 utils::duration poison_register::refusedFor(const body_digest& digest, utils::time_point now) const
@@ -141,7 +141,7 @@
         if (apart <= m_limits.massFailureWindow)
             crashes.insert(key.crash);
     }
-    return crashes.size() >= m_limits.massFailure;
+    return crashes.size() >= m_limits.massFailureCrashes;
 }
 
 } // namespace decisions
--- a/src/libs/decisions/poisonregister.h
+++ b/src/libs/decisions/poisonregister.h
@@ -54,10 +54,11 @@
     unsigned crashes = 2; ///< refused from this crash on: the first names suspects, the second convicts
     /// Refused from this many crashes on though never alone; 0: never. For fleets whose engines always run
     /// many requests, where no suspect is ever alone: so many crashes without an end between are no chance.
-    unsigned crashesInCompany = 0;
+    unsigned sharedCrashes = 0;
     utils::duration lifetime = std::chrono::minutes(30); ///< engines get fixed and replaced
     std::size_t maxStrikes = 4096; ///< 64 bytes each; the oldest go first
-    std::size_t massFailure = 3; ///< crashes: a request is in one server, so three at once have another cause
+    std::size_t massFailureCrashes
+        = 3; ///< crashes: a request is in one server, so three at once have another cause
     utils::duration massFailureWindow = std::chrono::seconds(2);
 };
 
@@ -77,10 +78,10 @@
 public:
     explicit poison_register(const poison_limits& limits = {});
 
-    /// A server has crashed with these in flight. `crash` names this crash alone, fleet-wide. `isWhole`:
+    /// A server has crashed with these in flight. `crash` names this crash alone, fleet-wide. `isExclusive`:
     /// other nodes had nothing in flight there, so that a single digest was alone.
     void crashed(std::uint64_t crash, const std::vector<body_digest>& inFlight, utils::time_point now,
-        bool isWhole = true);
+        bool isExclusive = true);
     /// The request ran to its end: its strikes with others in flight are cleared, here and by merging
     /// elsewhere.
     void completed(const body_digest& digest, utils::time_point now);
--- a/src/libs/decisions/lump.h
+++ b/src/libs/decisions/quotalease.h
@@ -16,7 +16,7 @@
 
 /// A node asks the team's home for a part of the team's limit. The numbers that it holds are lowered before
 /// the request is sent, so that the home may lend the difference to others at once.
-struct lump_request {
+struct quota_lease_request {
     utils::team_id team;
     utils::node_id borrower;
     std::uint64_t sequence = 0; ///< grows with each request of this borrower and team, also over restarts
@@ -34,7 +34,7 @@
 };
 
 /// The home's answer. Counts only if it answers the borrower's latest request.
-struct lump_grant {
+struct quota_lease_grant {
     utils::team_id team;
     std::uint64_t sequence = 0; ///< of the request
     std::uint32_t requests = 0; ///< added to what the borrower holds
--- a/src/libs/decisions/lumplender.cpp
+++ b/src/libs/decisions/quotalender.cpp
@@ -1,4 +1,4 @@
-#include "lumplender.h"
+#include "quotalender.h"
 
 #include <algorithm>
 #include <cmath>
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr utils::duration whenSlotsAreOut = std::chrono::seconds(1);
+constexpr utils::duration noSlotRetryAfter = std::chrono::seconds(1);
 
 } // namespace
 
-lump_lender::lump_lender(const lender_limits& limits)
+quota_lender::quota_lender(const lender_limits& limits)
     : m_limits(limits)
 {
 }
 
-void lump_lender::setLimit(const utils::team_id& team, const fleet_limit& limit, utils::time_point now)
+void quota_lender::setLimit(const utils::team_id& team, const fleet_limit& limit, utils::time_point now)
 {
     team_state& state = m_teams[team];
     refill(team, state, now);
@@ -24,34 +24,34 @@
     state.tokens = std::min(state.tokens, capacityOf(state));
 }
 
-void lump_lender::becomeHome(const utils::team_id& team, utils::time_point now, bool isFirst)
+void quota_lender::becomeHome(const utils::team_id& team, utils::time_point now, bool isFirst)
 {
     team_state& state = m_teams[team];
     if (state.homeSince)
         return;
     state.homeSince = now;
-    state.settle = isFirst ? utils::duration::zero() : m_limits.settle;
+    state.takeoverDelay = isFirst ? utils::duration::zero() : m_limits.takeoverDelay;
     state.tokens = isFirst ? capacityOf(state) : 0;
-    state.refilledAt = now + state.settle;
+    state.refilledAt = now + state.takeoverDelay;
 }
 
-void lump_lender::ceaseHome(const utils::team_id& team)
+void quota_lender::ceaseHome(const utils::team_id& team)
 {
     team_state& state = m_teams[team];
     state.homeSince.reset();
     state.borrowers.clear();
 }
 
-void lump_lender::setMembers(
+void quota_lender::setMembers(
     const std::vector<utils::node_id>& members, const std::set<utils::node_id>& unreachable)
 {
     m_members = members;
     m_unreachable = unreachable;
 }
 
-lump_grant lump_lender::answer(const lump_request& request, utils::time_point now)
+quota_lease_grant quota_lender::answer(const quota_lease_request& request, utils::time_point now)
 {
-    lump_grant grant;
+    quota_lease_grant grant;
     grant.team = request.team;
     grant.sequence = request.sequence;
     grant.expiresIn = m_limits.expiry;
@@ -68,7 +68,7 @@
         return grant;
     }
     refill(request.team, state, now);
-    settleLastGrant(state, from, request, now);
+    creditUnusedGrant(state, from, request, now);
     from.concurrent = request.heldConcurrent;
     from.concurrent += lendConcurrent(request.team, state, request, now);
     from.lastRequests = lendRequests(state, request.wantedRequests);
@@ -80,29 +80,29 @@
     return grant;
 }
 
-void lump_lender::borrowerGone(const utils::node_id& node)
+void quota_lender::borrowerGone(const utils::node_id& node)
 {
     for (auto& [team, state] : m_teams)
         state.borrowers.erase(node);
 }
 
-unsigned lump_lender::lentConcurrent(const utils::team_id& team, utils::time_point now) const
+unsigned quota_lender::lentConcurrent(const utils::team_id& team, utils::time_point now) const
 {
     const auto found = m_teams.find(team);
     return found == m_teams.end() ? 0 : lentOut(found->second, now);
 }
 
-bool lump_lender::isReady(const team_state& state, utils::time_point now) const
+bool quota_lender::isReady(const team_state& state, utils::time_point now) const
 {
-    return state.homeSince && now >= *state.homeSince + state.settle;
+    return state.homeSince && now >= *state.homeSince + state.takeoverDelay;
 }
 
-double lump_lender::capacityOf(const team_state& state) const
+double quota_lender::capacityOf(const team_state& state) const
 {
-    return std::max(state.limit.requestsPerSecond * utils::toSeconds(m_limits.burst), m_limits.leastBucket);
+    return std::max(state.limit.requestsPerSecond * utils::toSeconds(m_limits.burst), m_limits.minBucketSize);
 }
 
-static_share lump_lender::setAside(const utils::team_id& team, const fleet_limit& limit) const
+static_share quota_lender::reservedShare(const utils::team_id& team, const fleet_limit& limit) const
 {
     static_share sum;
     for (const utils::node_id& node : m_unreachable) {
@@ -113,19 +113,19 @@
     return sum;
 }
 
-void lump_lender::refill(const utils::team_id& team, team_state& state, utils::time_point now) const
+void quota_lender::refill(const utils::team_id& team, team_state& state, utils::time_point now) const
 {
     if (!state.homeSince || now <= state.refilledAt)
         return;
-    const double aside = setAside(team, state.limit).requestsPerSecond;
-    const double rate = std::max(state.limit.requestsPerSecond - aside, 0.0);
+    const double reserved = reservedShare(team, state.limit).requestsPerSecond;
+    const double rate = std::max(state.limit.requestsPerSecond - reserved, 0.0);
     state.tokens += rate * utils::toSeconds(now - state.refilledAt);
     state.tokens = std::min(state.tokens, capacityOf(state));
     state.refilledAt = now;
 }
 
-void lump_lender::settleLastGrant(
-    team_state& state, borrower& from, const lump_request& request, utils::time_point now) const
+void quota_lender::creditUnusedGrant(
+    team_state& state, borrower& from, const quota_lease_request& request, utils::time_point now) const
 {
     // The borrower takes only the answer to its latest request, so a grant that it had not taken when it
     // sent this request will never be used. A borrower that had long been idle has forgotten what it took.
@@ -135,53 +135,54 @@
     state.tokens = std::min(state.tokens + request.returnedRequests, capacityOf(state));
 }
 
-void lump_lender::expire(utils::time_point now)
+void quota_lender::expire(utils::time_point now)
 {
     for (auto& [team, state] : m_teams) {
         std::erase_if(state.borrowers, [&](const auto& lent) {
-            return now >= lent.second.heardAt + m_limits.slotExpiry + m_limits.longestRun;
+            return now >= lent.second.heardAt + m_limits.slotExpiry + m_limits.maxRunTime;
         });
     }
 }
 
-unsigned lump_lender::lentOut(const team_state& state, utils::time_point now) const
+unsigned quota_lender::lentOut(const team_state& state, utils::time_point now) const
 {
     unsigned sum = 0;
     for (const auto& [node, lent] : state.borrowers) {
-        if (now < lent.heardAt + m_limits.slotExpiry + m_limits.longestRun)
+        if (now < lent.heardAt + m_limits.slotExpiry + m_limits.maxRunTime)
             sum += lent.concurrent;
     }
     return sum;
 }
 
-std::uint32_t lump_lender::lendRequests(team_state& state, std::uint32_t wanted) const
+std::uint32_t quota_lender::lendRequests(team_state& state, std::uint32_t wanted) const
 {
     if (state.limit.requestsPerSecond <= 0 || wanted == 0 || state.tokens < 1)
         return 0;
-    const auto most = static_cast<std::uint32_t>(std::ceil(std::floor(state.tokens) * m_limits.lumpShare));
-    const std::uint32_t lent = std::min(wanted, most);
+    const auto maxLent
+        = static_cast<std::uint32_t>(std::ceil(std::floor(state.tokens) * m_limits.leaseShare));
+    const std::uint32_t lent = std::min(wanted, maxLent);
     state.tokens -= lent;
     return lent;
 }
 
-std::uint32_t lump_lender::lendConcurrent(const utils::team_id& team, const team_state& state,
-    const lump_request& request, utils::time_point now) const
+std::uint32_t quota_lender::lendConcurrent(const utils::team_id& team, const team_state& state,
+    const quota_lease_request& request, utils::time_point now) const
 {
     if (request.wantedConcurrent <= request.heldConcurrent)
         return 0;
-    const unsigned taken = lentOut(state, now) + setAside(team, state.limit).concurrent;
+    const unsigned taken = lentOut(state, now) + reservedShare(team, state.limit).concurrent;
     if (taken >= state.limit.concurrent)
         return 0;
     const unsigned left = state.limit.concurrent - taken;
-    const auto most = static_cast<std::uint32_t>(std::ceil(left * m_limits.lumpShare));
-    return std::min(request.wantedConcurrent - request.heldConcurrent, most);
+    const auto maxLent = static_cast<std::uint32_t>(std::ceil(left * m_limits.leaseShare));
+    return std::min(request.wantedConcurrent - request.heldConcurrent, maxLent);
 }
 
-utils::duration lump_lender::retryAfter(const team_state& state)
+utils::duration quota_lender::retryAfter(const team_state& state)
 {
     const double rate = state.limit.requestsPerSecond;
     if (rate <= 0 || state.tokens >= 1)
-        return whenSlotsAreOut;
+        return noSlotRetryAfter;
     // All borrowers wait for the same bucket.
     return utils::fromSeconds(static_cast<double>(state.borrowers.size()) / rate);
 }
--- a/src/libs/decisions/repeatallowance.cpp
+++ b/src/libs/decisions/repeatallowance.cpp
@@ -42,7 +42,7 @@
         forwarded += part.forwarded;
         repeated += part.repeated;
     }
-    return usedShare * (m_limits.ratio * forwarded + m_limits.extra / m_nodes) - repeated;
+    return safetyFactor * (m_limits.ratio * forwarded + m_limits.extra / m_nodes) - repeated;
 }
 
 repeat_allowance::slice& repeat_allowance::current(utils::time_point now)
--- a/src/libs/decisions/repeatallowance.h
+++ b/src/libs/decisions/repeatallowance.h
@@ -40,7 +40,7 @@
 
     /// Part of the ratio that is used. A process that restarts knows nothing of what it has spent, and a
     /// window may begin at any moment.
-    static constexpr double usedShare = 0.75;
+    static constexpr double safetyFactor = 0.75;
 
 private:
     struct slice {
--- a/src/libs/decisions/responsetimes.h
+++ b/src/libs/decisions/responsetimes.h
@@ -67,7 +67,7 @@
     double m_base = utils::toSeconds(firstBase);
     double m_deviation = utils::toSeconds(firstBase);
     double m_occupancy;
-    std::array<double, urgencies> m_work {}; ///< slot time taken of late, by urgency
+    std::array<double, urgencyLevels> m_work {}; ///< slot time taken of late, by urgency
 };
 
 } // namespace decisions
--- a/src/libs/decisions/staticshare.h
+++ b/src/libs/decisions/staticshare.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "lump.h"
+#include "quotalease.h"
 
 #include <vector>
 
--- a/src/libs/decisions/teamlimiter.cpp
+++ b/src/libs/decisions/teamlimiter.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-constexpr double averaging = 0.5;
-constexpr double leastDemand = 0.01;
-constexpr utils::duration returnWindow = std::chrono::seconds(2);
-constexpr utils::duration longestRetryAfter = std::chrono::seconds(60);
-constexpr utils::duration whenSlotsAreOut = std::chrono::seconds(1);
+constexpr double demandSmoothing = 0.5;
+constexpr double minDemand = 0.01;
+constexpr utils::duration retrySpreadWindow = std::chrono::seconds(2);
+constexpr utils::duration maxRetryAfter = std::chrono::seconds(60);
+constexpr utils::duration noSlotRetryAfter = std::chrono::seconds(1);
 // A request that waits for a lump may ask so much sooner than one that tops up.
-constexpr int urgentFactor = 10;
-constexpr unsigned mostDoublings = 3;
-constexpr utils::duration longestLapse = std::chrono::seconds(4);
+constexpr int waitingIntervalDivisor = 10;
+constexpr unsigned maxTimeoutDoublings = 3;
+constexpr utils::duration maxFallbackDelay = std::chrono::seconds(4);
 
 bool isLimited(const fleet_limit& limit)
 {
@@ -29,9 +29,9 @@
 
 limit_answer refuseFor(utils::duration base, std::uint64_t hash)
 {
-    const auto wait = std::clamp(base, utils::duration::zero(), longestRetryAfter);
+    const auto wait = std::clamp(base, utils::duration::zero(), maxRetryAfter);
     return { limit_verdict::Refused,
-        { utils::error_kind::RateLimited, spreadRetryAfter(wait, returnWindow, hash) } };
+        { utils::error_kind::RateLimited, spreadRetryAfter(wait, retrySpreadWindow, hash) } };
 }
 
 } // namespace
@@ -70,15 +70,15 @@
     team_state& state = m_active[team];
     state.limit = limited->second;
     state.lastUse = now;
-    lapse(state, now);
-    const limit_answer answer = isOnStaticShare(state, now) ? admitFromShare(team, state, hash, now)
-                                                            : admitFromLump(state, hash, now);
-    if (answer.verdict == limit_verdict::AwaitLump) {
+    dropExpired(state, now);
+    const limit_answer answer = usesStaticShare(state, now) ? admitFromStaticShare(team, state, hash, now)
+                                                            : admitFromLease(state, hash, now);
+    if (answer.verdict == limit_verdict::AwaitGrant) {
         state.waiting.insert(hash);
         return answer;
     }
     state.waiting.erase(hash);
-    ++state.asked;
+    ++state.arrivals;
     if (answer.verdict == limit_verdict::Admitted)
         ++state.running;
     return answer;
@@ -93,24 +93,24 @@
     found->second.lastUse = now;
 }
 
-std::vector<lump_request> team_limiter::poll(utils::time_point now)
+std::vector<quota_lease_request> team_limiter::poll(utils::time_point now)
 {
-    std::vector<lump_request> result;
+    std::vector<quota_lease_request> result;
     std::erase_if(m_active, [&](const auto& active) { return isIdle(active.second, now); });
     for (auto& [team, state] : m_active) {
-        lapse(state, now);
-        if (!wantsToAsk(state, now))
+        dropExpired(state, now);
+        if (!shouldSendRequest(state, now))
             continue;
         if (!state.isAnswered)
             ++state.unanswered;
-        if (state.unanswered >= m_limits.unanswered)
-            fallBack(state, now);
+        if (state.unanswered >= m_limits.maxUnanswered)
+            scheduleStaticShare(state, now);
         result.push_back(makeRequest(team, state, now));
     }
     return result;
 }
 
-void team_limiter::apply(const lump_grant& grant, utils::time_point now)
+void team_limiter::apply(const quota_lease_grant& grant, utils::time_point now)
 {
     const auto found = m_active.find(grant.team);
     if (found == m_active.end())
@@ -122,7 +122,7 @@
     state.isAnswered = true;
     state.waiting.clear(); // those who wait ask again now, and count again if they must wait on
     if (!grant.isHome) {
-        fallBack(state, now);
+        scheduleStaticShare(state, now);
         return;
     }
     state.unanswered = 0;
@@ -130,14 +130,14 @@
     state.appliedSequence = grant.sequence;
     state.tokens += grant.requests;
     state.concurrent = grant.concurrent;
-    state.expiresAt = *state.sentAt + grant.expiresIn;
+    state.tokensExpireAt = *state.sentAt + grant.expiresIn;
     state.slotExpiry = grant.slotsExpireIn;
     state.slotsExpireAt = *state.sentAt + grant.slotsExpireIn;
     const bool lacksRate = state.limit.requestsPerSecond > 0 && state.tokens < state.waitingAtSend;
     const bool lacksSlots
         = state.limit.concurrent > 0 && state.concurrent < state.running + state.waitingAtSend;
     if (lacksRate || lacksSlots)
-        state.deniedUntil = now + std::max(grant.retryAfter, m_limits.askEvery);
+        state.deniedUntil = now + std::max(grant.retryAfter, m_limits.requestInterval);
 }
 
 void team_limiter::homeMoved(const utils::team_id& team)
@@ -158,36 +158,36 @@
     return found == m_active.end() ? 0 : found->second.running;
 }
 
-void team_limiter::lapse(team_state& state, utils::time_point now)
+void team_limiter::dropExpired(team_state& state, utils::time_point now)
 {
-    if (now >= state.expiresAt)
+    if (now >= state.tokensExpireAt)
         state.tokens = 0;
     if (now >= state.slotsExpireAt)
         state.concurrent = 0;
 }
 
-bool team_limiter::isOnStaticShare(const team_state& state, utils::time_point now)
+bool team_limiter::usesStaticShare(const team_state& state, utils::time_point now)
 {
     return state.staticSince && now >= *state.staticSince;
 }
 
-bool team_limiter::isHolding(const team_state& state)
+bool team_limiter::holdsQuota(const team_state& state)
 {
     return state.tokens > 0 || state.concurrent > 0 || state.running > 0;
 }
 
-void team_limiter::fallBack(team_state& state, utils::time_point now)
+void team_limiter::scheduleStaticShare(team_state& state, utils::time_point now)
 {
     if (state.staticSince)
         return;
     // While it lasts, a lump is part of the limit that the home accounts for, and better than the share.
-    const auto lapsed = state.limit.concurrent > 0 ? state.slotsExpireAt : state.expiresAt;
-    state.staticSince = std::max(now, std::min(lapsed, now + longestLapse));
+    const auto lapsed = state.limit.concurrent > 0 ? state.slotsExpireAt : state.tokensExpireAt;
+    state.staticSince = std::max(now, std::min(lapsed, now + maxFallbackDelay));
     state.staticRefilledAt = *state.staticSince;
     state.staticTokens = 0;
 }
 
-limit_answer team_limiter::admitFromLump(team_state& state, std::uint64_t hash, utils::time_point now)
+limit_answer team_limiter::admitFromLease(team_state& state, std::uint64_t hash, utils::time_point now)
 {
     const bool isRateFree = state.limit.requestsPerSecond <= 0 || state.tokens > 0;
     const bool isSlotFree = state.limit.concurrent == 0 || state.running < state.concurrent;
@@ -198,31 +198,31 @@
     }
     if (now < state.deniedUntil)
         return refuseFor(state.deniedUntil - now, hash);
-    return { limit_verdict::AwaitLump, {} };
+    return { limit_verdict::AwaitGrant, {} };
 }
 
-limit_answer team_limiter::admitFromShare(
+limit_answer team_limiter::admitFromStaticShare(
     const utils::team_id& team, team_state& state, std::uint64_t hash, utils::time_point now) const
 {
     const static_share share = staticShareOf(team, state.limit, m_self, m_members);
     const double rate = share.requestsPerSecond;
-    const double most = std::max(rate, 1.0);
+    const double bucketSize = std::max(rate, 1.0);
     const double earned = rate * utils::toSeconds(now - state.staticRefilledAt);
-    state.staticTokens = std::min(state.staticTokens + earned, most);
+    state.staticTokens = std::min(state.staticTokens + earned, bucketSize);
     state.staticRefilledAt = now;
     if (state.limit.concurrent > 0 && state.running >= share.concurrent)
-        return refuseFor(whenSlotsAreOut, hash);
+        return refuseFor(noSlotRetryAfter, hash);
     if (state.limit.requestsPerSecond <= 0)
         return {};
     if (state.staticTokens < 1) {
-        const bool isShareNone = rate <= 0;
+        const bool hasNoShare = rate <= 0;
         // The share starts empty, so that falling back again and again earns nothing. A caller of its first
         // moments waits for the first token; refused, it would be told that it is over a limit it is not
         // near.
-        if (!isShareNone && state.staticSince && now < *state.staticSince + m_limits.answerWithin)
-            return { limit_verdict::AwaitLump, {} };
+        if (!hasNoShare && state.staticSince && now < *state.staticSince + m_limits.initialAnswerTimeout)
+            return { limit_verdict::AwaitGrant, {} };
         return refuseFor(
-            isShareNone ? longestRetryAfter : utils::fromSeconds((1 - state.staticTokens) / rate), hash);
+            hasNoShare ? maxRetryAfter : utils::fromSeconds((1 - state.staticTokens) / rate), hash);
     }
     state.staticTokens -= 1;
     return {};
@@ -232,21 +232,22 @@
 {
     // Doubled with each try: a later request voids the answer to an earlier one, so over a slow network a
     // fixed time would void every answer.
-    return m_limits.answerWithin * (1 << std::min(state.unanswered, mostDoublings));
+    return m_limits.initialAnswerTimeout * (1 << std::min(state.unanswered, maxTimeoutDoublings));
 }
 
-bool team_limiter::wantsToAsk(const team_state& state, utils::time_point now) const
+bool team_limiter::shouldSendRequest(const team_state& state, utils::time_point now) const
 {
     if (!state.isAnswered)
         return now >= *state.sentAt + answerTimeout(state);
     if (now < state.deniedUntil)
         return false;
-    const bool isWaiting = !state.waiting.empty() && !isOnStaticShare(state, now);
-    const utils::duration gap = isWaiting ? m_limits.askEvery / urgentFactor : m_limits.askEvery;
+    const bool isWaiting = !state.waiting.empty() && !usesStaticShare(state, now);
+    const utils::duration gap
+        = isWaiting ? m_limits.requestInterval / waitingIntervalDivisor : m_limits.requestInterval;
     if (state.sentAt && now < *state.sentAt + gap)
         return false;
     const bool isLow
-        = state.limit.requestsPerSecond > 0 && state.asked > 0 && state.tokens < neededRequests(state) / 2;
+        = state.limit.requestsPerSecond > 0 && state.arrivals > 0 && state.tokens < neededRequests(state) / 2;
     const bool isShareInUse = state.staticSince && now < state.lastUse + m_limits.forgetAfter;
     return isWaiting || isLow || isShareInUse || isSlotUpdateDue(state, now);
 }
@@ -262,19 +263,19 @@
 
 bool team_limiter::isIdle(const team_state& state, utils::time_point now) const
 {
-    return !isHolding(state) && state.waiting.empty() && now >= state.lastUse + m_limits.forgetAfter;
+    return !holdsQuota(state) && state.waiting.empty() && now >= state.lastUse + m_limits.forgetAfter;
 }
 
 void team_limiter::measureDemand(team_state& state, utils::time_point now) const
 {
     const double elapsed
-        = std::max(utils::toSeconds(now - state.demandAt), utils::toSeconds(m_limits.askEvery));
-    const double current = state.asked / elapsed;
-    state.demand += averaging * (current - state.demand);
-    if (state.demand < leastDemand)
+        = std::max(utils::toSeconds(now - state.demandAt), utils::toSeconds(m_limits.requestInterval));
+    const double current = state.arrivals / elapsed;
+    state.demand += demandSmoothing * (current - state.demand);
+    if (state.demand < minDemand)
         state.demand = 0;
     state.demandAt = now;
-    state.asked = 0;
+    state.arrivals = 0;
 }
 
 std::uint32_t team_limiter::neededRequests(const team_state& state) const
@@ -292,10 +293,11 @@
     return state.running + countOf(state.waiting) + (isFrequent ? 1 + state.running / 4 : 0);
 }
 
-lump_request team_limiter::makeRequest(const utils::team_id& team, team_state& state, utils::time_point now)
+quota_lease_request team_limiter::makeRequest(
+    const utils::team_id& team, team_state& state, utils::time_point now)
 {
     measureDemand(state, now);
-    lump_request request;
+    quota_lease_request request;
     request.team = team;
     request.borrower = m_self;
     request.sequence = m_nextSequence++;
--- a/src/libs/decisions/teamlimiter.h
+++ b/src/libs/decisions/teamlimiter.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "lump.h"
+#include "quotalease.h"
 #include "refusal.h"
 #include "staticshare.h"
 
@@ -13,9 +13,11 @@
 
 /// Settings of the borrower's side.
 struct team_limiter_limits {
-    utils::duration askEvery = std::chrono::milliseconds(500); ///< per team: bounds the control traffic
-    utils::duration answerWithin = std::chrono::milliseconds(200); ///< then the home is asked again; doubles
-    unsigned unanswered = 3; ///< asked so often without an answer, the home counts as out of reach
+    utils::duration requestInterval
+        = std::chrono::milliseconds(500); ///< per team: bounds the control traffic
+    utils::duration initialAnswerTimeout
+        = std::chrono::milliseconds(200); ///< then the home is asked again; doubles
+    unsigned maxUnanswered = 3; ///< asked so often without an answer, the home counts as out of reach
     utils::duration horizon = std::chrono::seconds(2); ///< a lump should last this long
     utils::duration returnAfter = std::chrono::seconds(1); ///< without use, free slots go back
     utils::duration forgetAfter = std::chrono::seconds(30); ///< without traffic a team's state goes
@@ -24,7 +26,7 @@
 /// What the limiter says about one request.
 enum class limit_verdict {
     Admitted,
-    AwaitLump, ///< ask again when a grant has come, or after a while, with the same hash
+    AwaitGrant, ///< ask again when a grant has come, or after a while, with the same hash
     Refused
 };
 
@@ -67,9 +69,9 @@
     /// An admitted request has ended.
     void finished(const utils::team_id& team, utils::time_point now);
     /// The requests to send to the teams' homes now. Call after admit and about every 100 ms.
-    std::vector<lump_request> poll(utils::time_point now);
+    std::vector<quota_lease_request> poll(utils::time_point now);
     /// A home has answered.
-    void apply(const lump_grant& grant, utils::time_point now);
+    void apply(const quota_lease_grant& grant, utils::time_point now);
     /// The team's home has moved: asks the new one at the next poll.
     void homeMoved(const utils::team_id& team);
 
@@ -87,9 +89,9 @@
         std::set<std::uint64_t> waiting; ///< hashes of those told to await, each counted once
         std::uint32_t waitingAtSend = 0;
         double demand = 0; ///< requests per second, moving average
-        std::uint32_t asked = 0; ///< since the last request was sent
+        std::uint32_t arrivals = 0; ///< since the last request was sent
         utils::time_point demandAt {};
-        utils::time_point expiresAt {}; ///< of the tokens
+        utils::time_point tokensExpireAt {}; ///< of the tokens
         utils::time_point slotsExpireAt {};
         utils::duration slotExpiry {};
         utils::time_point deniedUntil {};
@@ -104,21 +106,21 @@
         utils::time_point staticRefilledAt {};
     };
 
-    static void lapse(team_state& state, utils::time_point now);
-    static bool isOnStaticShare(const team_state& state, utils::time_point now);
-    static bool isHolding(const team_state& state);
-    static void fallBack(team_state& state, utils::time_point now);
-    static limit_answer admitFromLump(team_state& state, std::uint64_t hash, utils::time_point now);
-    limit_answer admitFromShare(
+    static void dropExpired(team_state& state, utils::time_point now);
+    static bool usesStaticShare(const team_state& state, utils::time_point now);
+    static bool holdsQuota(const team_state& state);
+    static void scheduleStaticShare(team_state& state, utils::time_point now);
+    static limit_answer admitFromLease(team_state& state, std::uint64_t hash, utils::time_point now);
+    limit_answer admitFromStaticShare(
         const utils::team_id& team, team_state& state, std::uint64_t hash, utils::time_point now) const;
     utils::duration answerTimeout(const team_state& state) const;
-    bool wantsToAsk(const team_state& state, utils::time_point now) const;
+    bool shouldSendRequest(const team_state& state, utils::time_point now) const;
     bool isSlotUpdateDue(const team_state& state, utils::time_point now) const;
     std::uint32_t wantedSlots(const team_state& state) const;
     bool isIdle(const team_state& state, utils::time_point now) const;
     void measureDemand(team_state& state, utils::time_point now) const;
     std::uint32_t neededRequests(const team_state& state) const;
-    lump_request makeRequest(const utils::team_id& team, team_state& state, utils::time_point now);
+    quota_lease_request makeRequest(const utils::team_id& team, team_state& state, utils::time_point now);
 
     utils::node_id m_self;
     team_limiter_limits m_limits;
--- a/src/libs/decisions/urgency.h
+++ b/src/libs/decisions/urgency.h
@@ -6,12 +6,12 @@
 namespace decisions {
 
 /// How many orders of requests are told apart; 0 is the most urgent.
-inline constexpr int urgencies = 10;
+inline constexpr int urgencyLevels = 10;
 
 /// The place of an urgency in a table of all; what lies outside counts as the nearest. Thread safe.
 constexpr std::size_t urgencyIndex(int urgency)
 {
-    return static_cast<std::size_t>(std::clamp(urgency, 0, urgencies - 1));
+    return static_cast<std::size_t>(std::clamp(urgency, 0, urgencyLevels - 1));
 }
 
 } // namespace decisions
--- a/src/libs/gateway/nodecontext.cpp
+++ b/src/libs/gateway/nodecontext.cpp
@@ -28,7 +28,7 @@
 {
     decisions::poison_limits limits;
     limits.crashes = 3;
-    limits.crashesInCompany = 3;
+    limits.sharedCrashes = 3;
     limits.lifetime = std::chrono::minutes(5);
     return limits;
 }
--- a/src/libs/gateway/peertable.cpp
+++ b/src/libs/gateway/peertable.cpp
@@ -73,7 +73,7 @@
 std::size_t peer_table::followersHeard(utils::time_point now) const
 {
     return static_cast<std::size_t>(std::ranges::count_if(m_peers, [now](const auto& entry) {
-        return entry.second.followsStore && now - entry.second.heardAt <= decisions::followerSilence;
+        return entry.second.followsStore && now - entry.second.heardAt <= decisions::followerTimeout;
     }));
 }
 
--- a/src/libs/gateway/requestplan.cpp
+++ b/src/libs/gateway/requestplan.cpp
@@ -156,7 +156,7 @@
         return std::nullopt;
     decisions::load_shedder& shedder = context.shedders[plan.service];
     const decisions::response_times& times = context.timesOf(plan.service);
-    shedder.seen(plan.urgency, plan.route->targetLatency);
+    shedder.recordTarget(plan.urgency, plan.route->targetLatency);
     decisions::shed_query query;
     query.slotWait = times.slotWait(chosen.load.requests, server->slots, queueUrgency(plan));
     query.queueing = query.slotWait + times.forecast(chosen.load.promptTokens).expected();
@@ -190,8 +190,8 @@
 
 int queueUrgency(const request_plan& plan)
 {
-    static_assert(catalogue::configuration::urgencies <= decisions::urgencies);
-    return plan.isEngine ? plan.urgency : decisions::urgencies - 1;
+    static_assert(catalogue::configuration::urgencies <= decisions::urgencyLevels);
+    return plan.isEngine ? plan.urgency : decisions::urgencyLevels - 1;
 }
 
 bool hasElsewhere(const request_plan& plan)
--- a/src/libs/gateway/viewkeeper.h
+++ b/src/libs/gateway/viewkeeper.h
@@ -49,13 +49,14 @@
         noteEvidence(beat, present);
         if (beat.isSettled)
             m_view.confirmRemovals(beat.serversRevision, present);
-        const bool countsServers = decisions::countsWord(beat.followsStore, m_peers.followersHeard(present));
+        const bool countsServers
+            = decisions::isTrustedSource(beat.followsStore, m_peers.followersHeard(present));
         if (countsServers)
-            m_context.viewLag.hear(beat.serversRevision, present);
+            m_context.viewLag.observeRevision(beat.serversRevision, present);
         if (countsServers && m_view.isBehind(view_part::Servers, 0, beat.serversRevision))
             learn(view_part::Servers, beat.node, present);
         m_configurationLag.advance(m_view.configurationRevision());
-        m_configurationLag.hear(beat.configurationRevision, present);
+        m_configurationLag.observeRevision(beat.configurationRevision, present);
         if (m_view.isBehind(view_part::Configuration, beat.configurationRevision, 0))
             learn(view_part::Configuration, beat.node, present);
     }
@@ -131,11 +132,10 @@
             if (status != store_status::Done)
                 return;
             m_context.evidenceAt = std::max(m_context.evidenceAt, startedAt);
-            m_context.viewLag.hear(m_view.serversAsOf(), now());
+            m_context.viewLag.observeRevision(m_view.serversAsOf(), now());
         };
         events.mayCall = [this] { return m_follows; };
-        events.pauseAfterFailure
-            = [this] { return decisions::pauseAfterFailedCall(m_nodes, m_failuresInRow); };
+        events.pauseAfterFailure = [this] { return decisions::storeRetryDelay(m_nodes, m_failuresInRow); };
         return events;
     }
 
@@ -213,7 +213,7 @@
         // for.
         if (part == view_part::Configuration)
             m_watch.callNow();
-        const utils::duration wait = start == fetch_start::Alone ? lead : utils::duration::zero();
+        const utils::duration wait = start == fetch_start::First ? lead : utils::duration::zero();
         boost::asio::co_spawn(m_context.executor, fetchFrom(peer, part, wait), boost::asio::detached);
     }
 
@@ -259,7 +259,7 @@
             co_return fetch_outcome::Told;
         // While this node waited the peer may have lost the store.
         if (part == view_part::Servers
-            && !decisions::countsWord(peer->followsStore, m_peers.followersHeard(now())))
+            && !decisions::isTrustedSource(peer->followsStore, m_peers.followersHeard(now())))
             co_return fetch_outcome::NotTold;
         std::string address = peer->address;
         const view_request request = m_view.request(part, takesWhole);
--- a/src/libs/serving/teamlimits.cpp
+++ b/src/libs/serving/teamlimits.cpp
@@ -138,7 +138,7 @@
 
 void team_limits::send(utils::time_point now)
 {
-    for (decisions::lump_request& request : m_limiter.poll(now)) {
+    for (decisions::quota_lease_request& request : m_limiter.poll(now)) {
         const auto home = m_homes.find(request.team);
         if (home == m_homes.end() || !home->second)
             continue;
@@ -151,7 +151,7 @@
     }
 }
 
-asio::awaitable<void> team_limits::ask(utils::node_id home, decisions::lump_request request)
+asio::awaitable<void> team_limits::ask(utils::node_id home, decisions::quota_lease_request request)
 {
     wire::peer_call question;
     question.kind = static_cast<std::uint8_t>(wire::call_kind::TeamLimit);
@@ -160,7 +160,7 @@
     const auto reply = co_await m_peers.call(m_fleet.addressOf(home), std::move(question), askTimeout);
     if (!reply || !reply->isOk)
         co_return;
-    const auto grant = wire::decode<decisions::lump_grant>(reply->payload);
+    const auto grant = wire::decode<decisions::quota_lease_grant>(reply->payload);
     if (!grant)
         co_return;
     m_limiter.apply(*grant, now());
@@ -169,7 +169,7 @@
 
 wire::peer_reply team_limits::onCall(const wire::peer_call& call)
 {
-    const auto request = wire::decode<decisions::lump_request>(call.payload);
+    const auto request = wire::decode<decisions::quota_lease_request>(call.payload);
     if (!request)
         return {};
     return { true, wire::encode(m_lender.answer(*request, now())) };
--- a/src/libs/serving/teamlimits.h
+++ b/src/libs/serving/teamlimits.h
@@ -4,7 +4,7 @@
 #include "nodecontext.h"
 #include "peerpool.h"
 
-#include "decisions/lumplender.h"
+#include "decisions/quotalender.h"
 #include "decisions/teamlimiter.h"
 
 #include <boost/asio/awaitable.hpp>
@@ -16,7 +16,7 @@
 namespace serving {
 
 /// Limits of calling teams over the whole fleet: borrows from the homes of the teams, lends as their home.
-/// The rules are decisions::team_limiter's and lump_lender's; this class carries their messages.
+/// The rules are decisions::team_limiter's and quota_lender's; this class carries their messages.
 /// On the node's one thread.
 class team_limits {
 public:
@@ -49,7 +49,7 @@
 private:
     void followFleet(utils::time_point now);
     void send(utils::time_point now);
-    boost::asio::awaitable<void> ask(utils::node_id home, decisions::lump_request request);
+    boost::asio::awaitable<void> ask(utils::node_id home, decisions::quota_lease_request request);
     void wakeWaiters();
 
     /// Takes a waiter's timer out of the set, whichever way the wait ends.
@@ -63,7 +63,7 @@
     live_fleet& m_fleet;
     peer_pool& m_peers;
     decisions::team_limiter m_limiter;
-    decisions::lump_lender m_lender;
+    decisions::quota_lender m_lender;
     std::map<utils::team_id, std::optional<utils::node_id>> m_homes;
     std::set<boost::asio::steady_timer*> m_waiters; ///< in the frames of those who wait for a lump
 };
--- a/src/tools/loadplay/limittraffic.cpp
+++ b/src/tools/loadplay/limittraffic.cpp
@@ -2,7 +2,7 @@
 
 #include "eventloop.h"
 
-#include "decisions/lumplender.h"
+#include "decisions/quotalender.h"
 #include "decisions/teamlimiter.h"
 
 #include <cereal/archives/binary.hpp>
@@ -128,7 +128,7 @@
     {
         const std::size_t team = request.team;
         const auto answer = m_limiters[node].admit(m_teams[team], request.hash, m_loop.now());
-        if (answer.verdict == decisions::limit_verdict::AwaitLump) {
+        if (answer.verdict == decisions::limit_verdict::AwaitGrant) {
             m_waiting[node].push_back(request);
             return false;
         }
@@ -172,7 +172,7 @@
         }
     }
 
-    void answer(std::size_t node, std::size_t home, const decisions::lump_request& request)
+    void answer(std::size_t node, std::size_t home, const decisions::quota_lease_request& request)
     {
         const auto grant = m_lender.answer(request, m_loop.now());
         if (home != node) {
@@ -209,7 +209,7 @@
     limit_fleet m_fleet;
     std::mt19937 m_random;
     event_loop m_loop;
-    decisions::lump_lender m_lender; ///< stands for the lenders of all homes
+    decisions::quota_lender m_lender; ///< stands for the lenders of all homes
     std::vector<utils::node_id> m_members;
     std::vector<utils::team_id> m_teams;
     std::vector<decisions::fleet_limit> m_limits;
--- a/src/tools/loadplay/queueplay.cpp
+++ b/src/tools/loadplay/queueplay.cpp
@@ -21,8 +21,8 @@
     decisions::fair_queue_limits limits;
     limits.slots = load.slots;
     limits.isFair = safeguards.isFair;
-    limits.isClassed = safeguards.isClassed;
-    limits.sheds = safeguards.sheds;
+    limits.hasPriorityClasses = safeguards.isClassed;
+    limits.shedsLoad = safeguards.sheds;
     if (!safeguards.sheds)
         limits.maxEntries = unbounded;
     return limits;
--- a/src/tools/measure/queuecost.cpp
+++ b/src/tools/measure/queuecost.cpp
@@ -1,8 +1,8 @@
 #include "queuecost.h"
 
 #include "decisions/fairqueue.h"
-#include "decisions/lumplender.h"
 #include "decisions/poisonregister.h"
+#include "decisions/quotalender.h"
 #include "report/htmlreport.h"
 
 #include <boost/json.hpp>
@@ -81,13 +81,13 @@
 cost_row lenderCost(std::size_t nodes)
 {
     const double before = heapBytes();
-    decisions::lump_lender lender;
+    decisions::quota_lender lender;
     const utils::team_id team("team");
     lender.setLimit(team, { 1000, 1000 }, start);
     lender.becomeHome(team, start, true);
     std::uint64_t sequence = 0;
     const auto ask = [&](std::size_t i) {
-        decisions::lump_request request;
+        decisions::quota_lease_request request;
         request.team = team;
         request.borrower = utils::node_id("node-" + std::to_string(i % nodes));
         request.sequence = ++sequence;
--- a/tests/auto/decisions/limiterplay.h
+++ b/tests/auto/decisions/limiterplay.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decisions/lumplender.h"
+#include "decisions/quotalender.h"
 #include "decisions/teamlimiter.h"
 
 #include <functional>
@@ -46,7 +46,7 @@
 
     utils::time_point now() const { return m_now; }
     decisions::team_limiter& limiter(std::size_t node) { return m_limiters.at(node); }
-    decisions::lump_lender& lender() { return m_lender; }
+    decisions::quota_lender& lender() { return m_lender; }
     const std::vector<utils::node_id>& members() const { return m_members; }
     void cut(std::size_t node, bool toHome, bool fromHome)
     {
@@ -60,7 +60,7 @@
         const auto answer = m_limiters.at(node).admit(team, ++m_requests, m_now);
         if (answer.verdict == decisions::limit_verdict::Admitted)
             start(node, length);
-        if (answer.verdict == decisions::limit_verdict::AwaitLump)
+        if (answer.verdict == decisions::limit_verdict::AwaitGrant)
             m_awaiting.push_back({ node, length, m_requests });
         return answer.verdict;
     }
@@ -141,7 +141,7 @@
             const auto answer = m_limiters.at(waiting.node).admit(team, waiting.hash, m_now);
             if (answer.verdict == decisions::limit_verdict::Admitted)
                 start(waiting.node, waiting.length);
-            if (answer.verdict == decisions::limit_verdict::AwaitLump)
+            if (answer.verdict == decisions::limit_verdict::AwaitGrant)
                 m_awaiting.push_back(waiting);
         }
     }
@@ -156,14 +156,14 @@
         m_network.emplace(m_now + utils::duration(delay(m_random)), std::move(action));
     }
 
-    void answer(std::size_t node, const decisions::lump_request& request)
+    void answer(std::size_t node, const decisions::quota_lease_request& request)
     {
-        const decisions::lump_grant grant = m_lender.answer(request, m_now);
+        const decisions::quota_lease_grant grant = m_lender.answer(request, m_now);
         transmit(
             node, [this, node, grant] { apply(node, grant); }, m_cutFromHome.at(node));
     }
 
-    void apply(std::size_t node, const decisions::lump_grant& grant)
+    void apply(std::size_t node, const decisions::quota_lease_grant& grant)
     {
         m_limiters[node].apply(grant, m_now);
         retryAwaiting();
@@ -179,7 +179,7 @@
     }
 
     settings m_settings;
-    decisions::lump_lender m_lender;
+    decisions::quota_lender m_lender;
     std::mt19937 m_random;
     utils::time_point m_now = utils::time_point {} + std::chrono::hours(1);
     std::vector<utils::node_id> m_members;
--- a/tests/auto/decisions/tst_copygate.cpp
+++ b/tests/auto/decisions/tst_copygate.cpp
@@ -108,12 +108,12 @@
     copy_gate gate;
     BOOST_TEST(gate.tryBegin(configuration));
     BOOST_TEST(gate.isFull());
-    BOOST_TEST(gate.tryBegin(copy_gate::small));
-    gate.end(copy_gate::small);
-    BOOST_TEST(!gate.tryBegin(copy_gate::small + 1));
+    BOOST_TEST(gate.tryBegin(copy_gate::alwaysAllowedBytes));
+    gate.end(copy_gate::alwaysAllowedBytes);
+    BOOST_TEST(!gate.tryBegin(copy_gate::alwaysAllowedBytes + 1));
     gate.end(configuration);
     BOOST_TEST(!gate.isFull());
-    BOOST_TEST(gate.tryBegin(copy_gate::small + 1));
+    BOOST_TEST(gate.tryBegin(copy_gate::alwaysAllowedBytes + 1));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_fetchgate.cpp
+++ b/tests/auto/decisions/tst_fetchgate.cpp
@@ -109,30 +109,30 @@
 BOOST_AUTO_TEST_CASE(a_second_peer_waits_for_a_slow_first)
 {
     fetch_gate gate;
-    BOOST_TEST((gate.tryBegin("vm-1", at(0ms), at(500ms)) == fetch_start::Alone));
+    BOOST_TEST((gate.tryBegin("vm-1", at(0ms), at(500ms)) == fetch_start::First));
     BOOST_TEST((gate.tryBegin("vm-2", at(400ms), at(400ms)) == fetch_start::No));
     BOOST_TEST((gate.tryBegin("vm-2", at(699ms), at(699ms)) == fetch_start::No));
     BOOST_TEST((gate.tryBegin("vm-1", at(700ms), at(700ms)) == fetch_start::No));
-    BOOST_TEST((gate.tryBegin("vm-2", at(700ms), at(1200ms)) == fetch_start::BesideSlow));
+    BOOST_TEST((gate.tryBegin("vm-2", at(700ms), at(1200ms)) == fetch_start::Second));
     BOOST_TEST((gate.tryBegin("vm-3", at(2s), at(2s)) == fetch_start::No));
     gate.end("vm-1");
-    BOOST_TEST((gate.tryBegin("vm-3", at(2s), at(2s)) == fetch_start::BesideSlow));
+    BOOST_TEST((gate.tryBegin("vm-3", at(2s), at(2s)) == fetch_start::Second));
     gate.end("vm-2");
     gate.end("vm-3");
-    BOOST_TEST((gate.tryBegin("vm-1", at(3s), at(3s)) == fetch_start::Alone));
+    BOOST_TEST((gate.tryBegin("vm-1", at(3s), at(3s)) == fetch_start::First));
 }
 
 // A peer that did not answer goes on to be heard. The others come first, it has its turn again later.
 BOOST_AUTO_TEST_CASE(a_silent_peer_is_passed_over)
 {
     fetch_gate gate;
-    BOOST_TEST((gate.tryBegin("vm-1", at(0ms), at(0ms)) == fetch_start::Alone));
+    BOOST_TEST((gate.tryBegin("vm-1", at(0ms), at(0ms)) == fetch_start::First));
     gate.fail("vm-1", at(500ms));
     BOOST_TEST((gate.tryBegin("vm-1", at(600ms), at(600ms)) == fetch_start::No));
-    BOOST_TEST((gate.tryBegin("vm-2", at(600ms), at(600ms)) == fetch_start::Alone));
+    BOOST_TEST((gate.tryBegin("vm-2", at(600ms), at(600ms)) == fetch_start::First));
     gate.end("vm-2");
     BOOST_TEST((gate.tryBegin("vm-1", at(999ms), at(999ms)) == fetch_start::No));
-    BOOST_TEST((gate.tryBegin("vm-1", at(1000ms), at(1000ms)) == fetch_start::Alone));
+    BOOST_TEST((gate.tryBegin("vm-1", at(1000ms), at(1000ms)) == fetch_start::First));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_followrule.cpp
+++ b/tests/auto/decisions/tst_followrule.cpp
@@ -61,13 +61,13 @@
         if (shouldFollowStore({ name, without(all, name), 2 }))
             followers.insert(name);
     }
-    BOOST_TEST(followers.size() == decisions::wantedFollowers);
+    BOOST_TEST(followers.size() == decisions::targetFollowers);
     for (const std::string& gone : followers) {
         const auto left = without(all, gone);
         std::size_t count = 0;
         for (const std::string& name : left)
             count += shouldFollowStore({ name, without(left, name), 2 }) ? 1 : 0;
-        BOOST_TEST(count == decisions::wantedFollowers);
+        BOOST_TEST(count == decisions::targetFollowers);
     }
 }
 
@@ -85,17 +85,17 @@
 // The store is away for all. Eight hundred nodes must not ask it 2,700 times a second for as long.
 BOOST_AUTO_TEST_CASE(the_pause_grows_with_the_fleet)
 {
-    BOOST_TEST((decisions::pauseAfterFailedCall(1, 5) == 300ms));
-    BOOST_TEST((decisions::pauseAfterFailedCall(7, 5) == 300ms));
-    BOOST_TEST((decisions::pauseAfterFailedCall(16, 2) == 600ms));
-    BOOST_TEST((decisions::pauseAfterFailedCall(800, 2) == 2s));
+    BOOST_TEST((decisions::storeRetryDelay(1, 5) == 300ms));
+    BOOST_TEST((decisions::storeRetryDelay(7, 5) == 300ms));
+    BOOST_TEST((decisions::storeRetryDelay(16, 2) == 600ms));
+    BOOST_TEST((decisions::storeRetryDelay(800, 2) == 2s));
 }
 
 // A waiting watch is cut, on all eight followers at once, and the store is well. With the pause of an outage
 // a large fleet would not hear of a server that leaves for two seconds of the three that it has.
 BOOST_AUTO_TEST_CASE(a_cut_watch_is_asked_again_soon)
 {
-    BOOST_TEST((decisions::pauseAfterFailedCall(800, 1) == 300ms));
+    BOOST_TEST((decisions::storeRetryDelay(800, 1) == 300ms));
 }
 
 // The store turns some nodes away while a server leaves. These keep for 1.9 s what went, as in an outage; a
@@ -103,11 +103,11 @@
 // left.
 BOOST_AUTO_TEST_CASE(only_followers_are_believed_where_there_are_some)
 {
-    BOOST_TEST(decisions::countsWord(true, 0));
-    BOOST_TEST(decisions::countsWord(true, 8));
-    BOOST_TEST(!decisions::countsWord(false, 2));
+    BOOST_TEST(decisions::isTrustedSource(true, 0));
+    BOOST_TEST(decisions::isTrustedSource(true, 8));
+    BOOST_TEST(!decisions::isTrustedSource(false, 2));
     // Without followers anybody who knows more helps.
-    BOOST_TEST(decisions::countsWord(false, 1));
+    BOOST_TEST(decisions::isTrustedSource(false, 1));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_loadshedding.cpp
+++ b/tests/auto/decisions/tst_loadshedding.cpp
@@ -65,7 +65,7 @@
     {
         ++outcome.asked;
         const auto place = static_cast<std::size_t>(kind);
-        m_shedder.seen(kind, targets[place]);
+        m_shedder.recordTarget(kind, targets[place]);
         shed_query query;
         const auto held = static_cast<unsigned>(m_running.size() + waiting());
         query.slotWait = m_times.slotWait(held, slots, kind);
@@ -186,9 +186,9 @@
 BOOST_AUTO_TEST_CASE(limits_fall_with_urgency)
 {
     load_shedder shedder;
-    shedder.seen(0, 1s);
-    shedder.seen(1, 800ms);
-    shedder.seen(2, 1200ms);
+    shedder.recordTarget(0, 1s);
+    shedder.recordTarget(1, 800ms);
+    shedder.recordTarget(2, 1200ms);
     BOOST_TEST((shedder.limitFor(0, 1s) == 3s));
     BOOST_TEST((shedder.limitFor(1, 800ms) == 800ms));
     BOOST_TEST((shedder.limitFor(2, 1200ms) == 720ms));
--- a/tests/auto/decisions/tst_repeatallowance.cpp
+++ b/tests/auto/decisions/tst_repeatallowance.cpp
@@ -128,7 +128,7 @@
 {
     decisions::poison_limits limits;
     limits.crashes = 3;
-    limits.crashesInCompany = 3;
+    limits.sharedCrashes = 3;
     decisions::poison_register poison(limits);
     const auto bad = decisions::digestOf("bad");
     for (std::uint64_t crash = 1; crash <= 3; ++crash) {
--- a/tests/auto/decisions/tst_teamlimiter.cpp
+++ b/tests/auto/decisions/tst_teamlimiter.cpp
@@ -26,7 +26,7 @@
 double rateBound(const limiter_play::settings& chosen, utils::duration window)
 {
     const double rate = chosen.limit.requestsPerSecond;
-    const double bucket = std::max(rate * utils::toSeconds(chosen.lender.burst), chosen.lender.leastBucket);
+    const double bucket = std::max(rate * utils::toSeconds(chosen.lender.burst), chosen.lender.minBucketSize);
     return rate * utils::toSeconds(window + chosen.lender.expiry) + bucket;
 }
 
@@ -126,7 +126,7 @@
 RC_BOOST_PROP(lent_slots_keep_to_the_limit_in_any_history, ())
 {
     auto chosen = anyNetwork();
-    chosen.limiter.unanswered = 1'000'000;
+    chosen.limiter.maxUnanswered = 1'000'000;
     limiter_play play(chosen);
     playRandomRequests(play, chosen.seed + 1);
     RC_ASSERT(play.mostRunning() <= chosen.limit.concurrent);
@@ -235,7 +235,7 @@
     limiter.admit(team, 1, start);
     BOOST_TEST(limiter.poll(start).size() == 1U);
     for (auto time = 20ms; time <= 200ms; time += 20ms)
-        BOOST_TEST((limiter.admit(team, 1, start + time).verdict == limit_verdict::AwaitLump));
+        BOOST_TEST((limiter.admit(team, 1, start + time).verdict == limit_verdict::AwaitGrant));
     const auto again = limiter.poll(start + 200ms);
     BOOST_REQUIRE(again.size() == 1U);
     BOOST_TEST(again.front().wantedRequests == 1U);
@@ -246,12 +246,12 @@
 // lumps must have lapsed.
 BOOST_AUTO_TEST_CASE(new_home_waits_for_its_predecessors_lumps)
 {
-    decisions::lump_lender lender;
+    decisions::quota_lender lender;
     const utils::time_point start = utils::time_point {} + 1h;
     const utils::team_id team("press");
     lender.setLimit(team, { 10, 4 }, start);
     lender.becomeHome(team, start);
-    decisions::lump_request request;
+    decisions::quota_lease_request request;
     request.team = team;
     request.borrower = utils::node_id("node1");
     request.sequence = 1;
--- a/tests/auto/decisions/tst_viewlag.cpp
+++ b/tests/auto/decisions/tst_viewlag.cpp
@@ -21,10 +21,10 @@
     view_lag lag;
     BOOST_TEST((lag.age(at(5s)) == 0s));
     lag.advance(10);
-    lag.hear(10, at(0s));
+    lag.observeRevision(10, at(0s));
     BOOST_TEST((lag.age(at(300ms)) == 300ms));
     BOOST_TEST((lag.behindFor(at(300ms)) == 0s));
-    lag.hear(9, at(400ms));
+    lag.observeRevision(9, at(400ms));
     BOOST_TEST((lag.age(at(500ms)) == 100ms));
 }
 
@@ -35,14 +35,14 @@
     view_lag lag;
     lag.advance(10);
     for (int i = 0; i < 8; ++i) {
-        lag.hear(11 + static_cast<std::uint64_t>(i), at(i * 500ms));
-        lag.hear(11 + static_cast<std::uint64_t>(i), at(i * 500ms + 250ms));
+        lag.observeRevision(11 + static_cast<std::uint64_t>(i), at(i * 500ms));
+        lag.observeRevision(11 + static_cast<std::uint64_t>(i), at(i * 500ms + 250ms));
     }
     BOOST_TEST((lag.behindFor(at(4s)) == 4s));
     lag.advance(14);
     BOOST_TEST((lag.behindFor(at(4s)) == 2s));
     BOOST_TEST((lag.age(at(4s)) == 2s));
-    lag.hear(12, at(4s));
+    lag.observeRevision(12, at(4s));
     BOOST_TEST((lag.behindFor(at(4s)) == 2s));
     lag.advance(18);
     BOOST_TEST((lag.behindFor(at(4s)) == 0s));
@@ -54,13 +54,13 @@
 {
     view_lag lag;
     lag.advance(10);
-    lag.hear(11, at(0s));
-    lag.hear(11, at(2s));
+    lag.observeRevision(11, at(0s));
+    lag.observeRevision(11, at(2s));
     BOOST_TEST((lag.behindFor(at(5s)) == 5s));
     BOOST_TEST((lag.behindFor(at(5001ms)) == 0s));
-    lag.hear(10, at(5100ms));
+    lag.observeRevision(10, at(5100ms));
     BOOST_TEST((lag.behindFor(at(5100ms)) == 0s));
-    lag.hear(11, at(6s));
+    lag.observeRevision(11, at(6s));
     BOOST_TEST((lag.behindFor(at(6s)) == 6s));
 }
 
@@ -69,9 +69,9 @@
 BOOST_AUTO_TEST_CASE(many_missing_changes_are_remembered_in_bounds)
 {
     view_lag lag;
-    constexpr std::uint64_t changes = 10 * view_lag::mostRemembered;
+    constexpr std::uint64_t changes = 10 * view_lag::maxTrackedRevisions;
     for (std::uint64_t i = 1; i <= changes; ++i)
-        lag.hear(i, at(static_cast<int>(i) * 100ms));
+        lag.observeRevision(i, at(static_cast<int>(i) * 100ms));
     BOOST_TEST((lag.behindFor(at(changes * 100ms)) == (changes - 1) * 100ms));
     lag.advance(changes - 1);
     BOOST_TEST((lag.behindFor(at(changes * 100ms)) >= 0s));
