--- a/src/libs/decisions/admission.cpp
+++ b/src/libs/decisions/admission.cpp
@@ -7,13 +7,14 @@
 
 namespace {
 
-// Retry-After is in whole seconds: a narrower window would send everyone back in the same one.
+// Retry-After is in whole seconds: a narrower window would return all callers in the same second.
 constexpr double minRetryWindowSeconds = 2;
-// Callers do not come back after minutes; a longer time would only be a refusal in other words.
+// Callers do not retry after minutes, so a longer time would amount to a final refusal.
 constexpr double maxRetryWindowSeconds = 60;
-// Seconds. Longer than a burst, so that the burst itself does not count as the usual load.
+// Longer than a burst, so that the burst itself does not count as the usual load.
 constexpr double loadAveragingSeconds = 60;
-// Under lasting saturation nothing is spare; some callers leave all the same.
+// Lower bound of the spare capacity, as a fraction of the drain rate. Lasting saturation leaves no spare
+// capacity, but some callers still give up.
 constexpr double minSpareFraction = 0.1;
 constexpr double minTrackedRate = 1e-6;
 constexpr utils::duration minRetryAfter = std::chrono::seconds(1);
@@ -57,7 +58,8 @@
 
 utils::duration admission::waitWithOvertaking(const admission_query& query) const
 {
-    // Those who will go ahead while it waits: higher classes, and teams lighter than its own.
+    // Work that overtakes the request while it waits: that of higher classes, and that of teams with a
+    // lower rate of admitted work in its own class.
     const auto own = static_cast<std::size_t>(query.entry.priority);
     const auto ownRate = m_admitted.at(own).find(query.entry.team);
     const double ownTeamRate = ownRate == m_admitted.at(own).end() ? 0 : ownRate->second;
--- a/src/libs/decisions/copygate.h
+++ b/src/libs/decisions/copygate.h
@@ -4,28 +4,29 @@
 
 namespace decisions {
 
-/// Which copies a node hands out at the same time.
+/// Limits the copies of its view that a node sends concurrently.
 ///
-/// Load: a configuration of 800 KB is put in force in a fleet of 80 nodes with links of 10 Mbit/s. Whoever
-/// knows it first is asked by all who hear of it. Seven copies at once take the link for five seconds, in
-/// which nothing else leaves the node. One after the other the first is there after 0.7 s, and whoever has it
-/// hands it on: each turn doubles their number. Not thread safe.
+/// Load: a configuration of 800 KB comes into force in a fleet of 80 nodes with links of 10 Mbit/s. All
+/// nodes that learn of it request it from the first node that has it. Seven concurrent copies saturate the
+/// link for five seconds, in which the node sends nothing else. When copies are sent one after another, the
+/// first one arrives after 0.7 s and its receiver sends copies as well: the number of nodes that have it
+/// doubles with each round. Not thread safe.
 class copy_gate {
 public:
-    /// Whether a copy of so many bytes may begin; it is then under way until end() with the same bytes.
-    /// Whoever is turned away asks another node.
+    /// Whether a copy of that size may start. If so, it counts as in flight until end() is called with the
+    /// same size. A node whose request is denied asks another node.
     bool tryBegin(std::size_t bytes);
     void end(std::size_t bytes);
-    /// Whether even the smallest copy that counts would be turned away.
+    /// Whether every copy larger than `alwaysAllowedBytes` would be denied.
     bool isFull() const { return m_inFlightBytes >= maxConcurrentBytes; }
 
-    /// Bytes of the copies that are under way together; a larger one goes alone.
+    /// Largest total size of the copies in flight. A larger copy is sent alone.
     static constexpr std::size_t maxConcurrentBytes = 125000;
-    /// Bytes up to which a copy is handed out at any time: news of a few servers.
+    /// Copies up to this size are always allowed and not counted, such as changes of a few servers.
     static constexpr std::size_t alwaysAllowedBytes = 16384;
 
 private:
-    std::size_t m_inFlightBytes = 0; ///< bytes
+    std::size_t m_inFlightBytes = 0;
 };
 
 } // namespace decisions
--- a/src/libs/decisions/fairqueue.cpp
+++ b/src/libs/decisions/fairqueue.cpp
@@ -117,8 +117,9 @@
     slot_forecast forecast = forecastNow(now);
     for (const class_queue& queue : m_queues) {
         for (const auto& [key, waiting] : queue.items) {
-            // Later arrivals of lighter teams and higher classes have gone ahead since it was let in: what
-            // would be refused at its limit is refused now, not after it has waited that long.
+            // Later arrivals of lighter teams and higher classes may have overtaken the entry since it was
+            // admitted. If it would be refused at its latest start time, it is refused now and does not
+            // wait until then.
             const bool isForecastLate = m_limits.slots > 0 && now + forecast.nextStart() > waiting.startBy;
             if (now > waiting.startBy || isForecastLate)
                 result.push_back(waiting.entry.id);
@@ -249,8 +250,8 @@
             queue.owed = 0;
             continue;
         }
-        // Savings end at one entry's work, else a class that could not start for its ceiling would later
-        // take all slots at once.
+        // The credit is capped at the work of one entry. Otherwise a class that its ceiling kept from
+        // starting would later take all slots at once.
         const double headWork = utils::toSeconds(queue.items.begin()->second.entry.expectedWork);
         queue.owed = std::min(queue.owed + m_limits.guarantee.at(index) * work, headWork);
     }
--- a/src/libs/decisions/fairqueue.h
+++ b/src/libs/decisions/fairqueue.h
@@ -17,68 +17,73 @@
 
 /// Settings of a fair queue.
 struct fair_queue_limits {
-    unsigned slots = 8; ///< requests that the servers behind the queue run at once
-    std::size_t maxEntries = 512; ///< more would wait longer than any caller of a live chat does
+    unsigned slots = 8; ///< concurrent requests of the servers behind the queue
+    std::size_t maxEntries = 512; ///< more would wait longer than any caller of a live chat
     admission_limits admission;
-    /// Largest part of the slots that a class may occupy. Work is not preempted, so without a ceiling for
-    /// drafts a status check waits for the end of a long draft however high its class.
+    /// Largest fraction of the slots that a class may occupy. Running requests are not preempted: without a
+    /// ceiling for drafts, a status check would wait for the end of a long draft despite its higher class.
     std::array<double, static_cast<std::size_t>(priority_class::Count_)> ceiling { 1.0, 0.9, 0.6 };
-    /// Part of the work that a class gets at least while it has entries: drafts wait, but go on.
+    /// Smallest fraction of the work that a class gets while it has entries: drafts wait, but make
+    /// progress.
     std::array<double, static_cast<std::size_t>(priority_class::Count_)> guarantee { 0.0, 0.15, 0.05 };
-    bool isFair = true; ///< false: one queue in order of arrival (the bench shows what that costs)
-    bool hasPriorityClasses = true; ///< false: all entries as if of one class, no ceilings
+    bool isFair = true; ///< false: one queue in order of arrival (the benchmark shows the cost)
+    bool hasPriorityClasses = true; ///< false: all entries in one class, without ceilings
     bool shedsLoad = true; ///< false: no admission by estimated wait
 };
 
-/// An entry that leaves the queue without having run.
+/// An entry that leaves the queue without having run, and the refusal for its caller.
 struct refused_entry {
     queue_entry entry;
     refusal reason;
 };
 
-/// The queue before one set of backend servers (an engine or a pool's share) at its home node.
+/// The fair queue in front of one set of backend servers (an engine or a pool's share) at its home node.
 ///
-/// Load: burst, few heavy teams, long work among short, saturation. Without it, one team's burst or a few
-/// long drafts delay everyone, and a full queue refuses the light team for the heavy one's backlog.
-///  - Classes: the most urgent class goes first, except that a class below is owed a small guaranteed
-///    share of the work; each class has a ceiling on the slots it occupies.
+/// Load: bursts, few heavy teams, long requests among short ones, saturation. Without it, one team's burst
+/// or a few long drafts delay all callers, and a full queue refuses the light team because of the heavy
+/// team's backlog.
+///  - Classes: the most urgent class goes first, except that each lower class is owed a small guaranteed
+///    share of the work. Each class has a ceiling on the slots that it occupies.
 ///  - Teams: start-time fair queueing on expected work inside a class, by weight.
-///  - Bound: when full, the newest entry of the team with the largest backlog makes room for a lighter one.
-///  - Deadlines: what can no longer end in time is handed back by expire() at once.
+///  - Bound: when the queue is full, the newest entry of the team with the largest backlog is evicted in
+///    favour of an entry of a lighter team.
+///  - Deadlines: entries that can no longer end in time are returned by expire() at once.
 ///
-/// The daemon calls push; then takeNext while it can dispatch; then expire for what must be refused now;
-/// finished when a run ends. The approval is checked again by the caller right before dispatch.
+/// Order of calls: push; then takeNext while requests can be dispatched; then expire for the entries to
+/// refuse now; finished when a run ends. The caller checks the approval again right before dispatch.
 /// Not thread safe.
 class fair_queue {
 public:
     explicit fair_queue(const fair_queue_limits& limits = {});
 
-    /// Queues the entry, or tells why not. Precondition: the id is not queued or running here.
+    /// Queues the entry, or returns the refusal. Precondition: the id is not queued or running here.
     std::optional<refusal> push(const queue_entry& entry, utils::time_point now);
-    /// The entry to dispatch now, counted as running until finished(); nothing while all slots that its
-    /// class may use are taken.
+    /// Returns the entry to dispatch now, which counts as running until finished(); nothing while all slots
+    /// that its class may use are taken.
     std::optional<queue_entry> takeNext(utils::time_point now);
-    /// A run has ended, whole or not. An unknown id is ignored.
+    /// Ends a run. `isComplete`: it ran to its end. An unknown id is ignored.
     void finished(entry_id id, utils::time_point now, bool isComplete = true);
-    /// Undoes takeNext for an entry that could not be dispatched after all: it waits on in its old place and
-    /// with its old limit, without being asked in again. An unknown id is ignored.
+    /// Undoes takeNext for an entry that could not be dispatched. The entry keeps its place in the queue
+    /// and its latest start time, and is not subject to admission again. An unknown id is ignored.
     void putBack(entry_id id);
-    /// Takes out an entry whose caller has gone. False when it was not queued (running or unknown).
+    /// Removes an entry whose caller has disconnected. Returns false if it was not queued (running or
+    /// unknown).
     bool remove(entry_id id);
-    /// Takes out what must be refused now: what will not start in time for its deadline or its class's
-    /// longest wait as the queue now stands, and what made room for others. Call after push and takeNext, and
-    /// at nextExpiry.
+    /// Removes and returns the entries to refuse now: those that, as the queue stands, will not start in
+    /// time for their deadline or within the longest wait of their class, and those that were evicted in
+    /// favour of others. Call after push and takeNext, and at nextExpiry.
     std::vector<refused_entry> expire(utils::time_point now);
-    /// Takes out the entries that `isRevoked` names: their approval is gone, they must not run.
+    /// Removes and returns the entries for which `isRevoked` holds: their approval is withdrawn, they must
+    /// not run.
     std::vector<queue_entry> removeIf(const std::function<bool(const queue_entry&)>& isRevoked);
-    /// When expire has something to do at the latest; time_point::max() when nothing is queued.
+    /// Latest time at which expire has entries to return; time_point::max() when nothing is queued.
     utils::time_point nextExpiry() const;
 
-    /// Slots change as servers join and leave; running entries stay.
+    /// Sets the number of slots, which changes as servers join and leave. Running entries are not affected.
     void setSlots(unsigned slots) { m_limits.slots = slots; }
     /// Time until an entry would start if pushed now.
     utils::duration estimatedWait(const queue_entry& entry, utils::time_point now) const;
-    /// Seconds of expected work that the servers finish in a second, as measured.
+    /// Seconds of expected work that the servers complete per second, as measured.
     double drainRate(utils::time_point now) const;
     std::size_t size() const { return m_positions.size(); }
     std::size_t size(priority_class priority) const;
@@ -88,7 +93,7 @@
     static constexpr std::size_t classes = static_cast<std::size_t>(priority_class::Count_);
 
     struct order_key {
-        double start = 0; ///< start tag in the class's virtual time, seconds of weighted work
+        double start = 0; ///< start tag in the virtual time of the class, in seconds of weighted work
         std::uint64_t sequence = 0;
         bool operator<(const order_key& other) const
         {
--- a/src/libs/decisions/followrule.h
+++ b/src/libs/decisions/followrule.h
@@ -8,40 +8,43 @@
 
 namespace decisions {
 
-/// What a node knows of its fleet when it decides whether to follow the store itself.
+/// What a node knows of the fleet when it decides whether to follow the store itself.
 struct follow_query {
     std::string ownName;
     std::vector<std::string> livePeers; ///< names
     std::size_t liveFollowers = 0; ///< peers in contact with the store, heard within `followerTimeout`
 };
 
-/// A follower that was not heard for so long does not count: beats come four times a second, and one in some
-/// hundred is lost. Short enough that a node cut off from all others reads a new configuration itself within
-/// the two seconds in which it must be in force.
+/// A follower that was not heard for this time does not count. Heartbeats come four times a second, and
+/// about one in some hundred is lost. The time is short enough that a node cut off from all others reads a
+/// new configuration itself within the two seconds in which it must be in force.
 inline constexpr utils::duration followerTimeout = std::chrono::milliseconds(700);
-/// Nodes that follow the store in a calm fleet. Small fleets do it with all nodes.
+/// Number of nodes that follow the store in a fleet without faults. In fleets up to this size, all nodes
+/// do.
 inline constexpr std::size_t targetFollowers = 8;
-/// A node that hears fewer followers follows the store itself: one alone may have lost the store unawares.
+/// A node that hears fewer followers than this follows the store itself: a single follower may have lost
+/// the store without noticing it.
 inline constexpr std::size_t minFollowers = 2;
 
 /// Whether a node should follow the store itself, or rely on peers that do.
 ///
-/// Load: a fleet of many nodes, each waiting for changes at a store whose rates grow more slowly than the
-/// fleet. Each change of one backend server wakes all of them: 80 nodes spent 15,000 calls in a minute, for
-/// which a few followers and their beats spend some hundreds. The first few names, in an order that all nodes
-/// agree on, follow; whoever does not hear them does too, so that a cut costs calls and not currency.
-/// Thread safe.
+/// Load: a fleet of many nodes, each with a watch on a store whose call rates grow more slowly than the
+/// fleet. Each change of one backend server wakes all watches: 80 nodes made 15,000 calls in a minute,
+/// where a few followers and their heartbeats need some hundreds.
+/// The first `targetFollowers` nodes, in an order that all nodes agree on, follow the store. A node that
+/// does not hear them follows it as well, so that a network partition costs additional calls and does not
+/// make views stale. Thread safe.
 bool shouldFollowStore(const follow_query& query);
 
-/// Whether a peer's word on backend servers counts for a node that has not heard it from the store. Where
-/// followers are heard only theirs does: a node that the store turns away takes itself for one in an outage,
-/// in which entries that went are kept for a while, and its copies would make the whole fleet keep them.
-/// Thread safe.
+/// Whether a node accepts a peer's report on backend servers that it has not received from the store
+/// itself. Where followers are heard, only their reports are accepted: a node that the store rejects
+/// behaves as in an outage of the store and keeps removed entries for a while, and its copies would make
+/// the whole fleet keep them. Thread safe.
 bool isTrustedSource(bool isFollower, std::size_t liveFollowers);
 
-/// Before the store is asked again after so many failed calls in a row. The first is asked again soon, since
-/// a watch may just have been cut. Then it grows with the fleet: refused calls are paid for, and whoever
-/// finds the store first tells the others. Thread safe.
+/// Delay before the next call to the store after `failures` consecutive failed calls. The first retry is
+/// soon, since a watch may just have been cut. Later delays grow with the fleet: refused calls are billed,
+/// and the first node that reaches the store informs the others. Thread safe.
 utils::duration storeRetryDelay(std::size_t nodes, unsigned failures);
 
 } // namespace decisions
--- a/src/libs/decisions/hedgepolicy.h
+++ b/src/libs/decisions/hedgepolicy.h
@@ -9,26 +9,26 @@
 
 /// Settings of hedging.
 struct hedge_limits {
-    double quantile = 0.95; ///< only the slowest twentieth is asked twice
+    double quantile = 0.95; ///< only the slowest 5% get a second request
     double share = 0.05; ///< hedges per lookup: when all servers are slow, the load grows by 5%, not 100%
     double capacity = 5;
-    std::size_t minSamples = 20; ///< fewer say nothing about a 95th percentile
+    std::size_t minSamples = 20; ///< fewer do not determine a 95th percentile
     utils::duration minDelay = std::chrono::milliseconds(5);
 };
 
-/// When an idempotent lookup is sent to a second server as well.
+/// Decides when an idempotent lookup is also sent to a second server.
 ///
-/// Load: one slow server among fast ones. Without it, each lookup that lands on the slow server waits for
-/// it, and p99 is the slow server's. Only for idempotent requests. Not thread safe.
+/// Load: one slow server among fast ones. Without hedging, each lookup that is routed to the slow server
+/// waits for it, and p99 is that of the slow server. Only for idempotent requests. Not thread safe.
 class hedge_policy {
 public:
     explicit hedge_policy(const hedge_limits& limits = {});
 
-    /// How long to wait for the first answer before hedging; nothing while too little is known.
+    /// Time to wait for the first answer before hedging; nothing while there are too few samples.
     std::optional<utils::duration> delay() const;
-    /// Whether a second request may go out now; takes it from the budget.
+    /// Whether a second request may be sent now. If so, it is taken from the budget.
     bool tryHedge(utils::time_point now);
-    /// A lookup was answered; `latency` of the first answer.
+    /// Records the latency of the first answer to a lookup.
     void completed(utils::duration latency);
 
 private:
--- a/src/libs/decisions/quotalender.cpp
+++ b/src/libs/decisions/quotalender.cpp
@@ -127,8 +127,9 @@
 void quota_lender::creditUnusedGrant(
     team_state& state, borrower& from, const quota_lease_request& request, utils::time_point now) const
 {
-    // The borrower takes only the answer to its latest request, so a grant that it had not taken when it
-    // sent this request will never be used. A borrower that had long been idle has forgotten what it took.
+    // The borrower applies only the answer to its latest request, so a grant that it had not applied when
+    // it sent this request will never be used. A borrower that was idle for longer than the expiry has
+    // dropped its record of the grants that it applied.
     const bool isRemembered = now < from.heardAt + m_limits.expiry;
     if (isRemembered && request.appliedSequence != from.sequence)
         state.tokens += from.lastRequests;
@@ -183,7 +184,7 @@
     const double rate = state.limit.requestsPerSecond;
     if (rate <= 0 || state.tokens >= 1)
         return noSlotRetryAfter;
-    // All borrowers wait for the same bucket.
+    // All borrowers draw on the same bucket.
     return utils::fromSeconds(static_cast<double>(state.borrowers.size()) / rate);
 }
 
--- a/src/libs/decisions/repeatallowance.cpp
+++ b/src/libs/decisions/repeatallowance.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr utils::duration sliceLength = std::chrono::milliseconds(250); // a fortieth of the users' window
+constexpr utils::duration sliceLength = std::chrono::milliseconds(250); // 1/40 of the default window
 
 std::int64_t indexOf(utils::time_point time)
 {
@@ -55,7 +55,7 @@
 
 void repeat_allowance::dropOld(utils::time_point now)
 {
-    // One slice more than the window: the oldest is still partly in it.
+    // Keeps one slice more than the window, since the oldest slice is still partly inside it.
     const std::int64_t oldest = indexOf(now - m_limits.window) - 1;
     while (!m_slices.empty() && m_slices.front().index < oldest)
         m_slices.pop_front();
--- a/src/libs/decisions/repeatallowance.h
+++ b/src/libs/decisions/repeatallowance.h
@@ -7,39 +7,41 @@
 
 namespace decisions {
 
-/// Settings of the repeats that all nodes together may send to a service.
+/// Limits of the repeats that all nodes together may send to a service.
 struct repeat_limits {
     double ratio = 0.2; ///< repeats per request, over all nodes
     double extra = 54; ///< repeats beyond that, over all nodes
-    utils::duration window = std::chrono::seconds(10); ///< both hold in every span of that length
+    utils::duration window = std::chrono::seconds(10); ///< both hold in every interval of this length
 };
 
-/// Bounds the repeats that this node sends to one service, so that all nodes together keep the fleet's bound
-/// in every window whoever knows of whom.
+/// Bounds the repeats that this node sends to one service, so that all nodes together keep the fleet's
+/// bound in every window, also when nodes do not know of each other.
 ///
-/// Load: failing servers, lost answers, callers who insist. Each node spends a share of what it has itself
-/// forwarded in the window before, and its part of the fixed extra; no node counts on another to spend less.
-/// Shares add up, so the sum keeps the bound without a message. Not thread safe.
+/// Load: failing servers, lost answers, callers that keep sending the same request. Each node may spend a
+/// share of the requests that it has forwarded itself in the last window, and its part of the fixed extra.
+/// No node relies on another one to spend less. The shares add up, so the sum keeps the bound without
+/// messages between nodes.
 class repeat_allowance {
 public:
-    /// `nodes`: how many nodes may spend at most, this one with them.
+    /// `nodes`: largest number of nodes that may spend, including this one.
     repeat_allowance(const repeat_limits& limits, unsigned nodes)
         : m_limits(limits)
         , m_nodes(nodes)
     {
     }
 
-    /// A request went to the service for the first time.
+    /// Records the first sending of a request to the service.
     void forwarded(utils::time_point now);
-    /// Counts a repeat, or says that none is left.
+    /// Takes one repeat, or returns false if none is left.
     bool trySpend(utils::time_point now);
-    /// More nodes than thought share the extra. A smaller figure is not taken: those that left have spent.
+    /// Raises the number of nodes that share the extra. A lower number is ignored: nodes that left may have
+    /// spent their part already.
     void setNodes(unsigned nodes);
-    /// Repeats left now.
+    /// Number of repeats left now.
     double left(utils::time_point now);
 
-    /// Part of the ratio that is used. A process that restarts knows nothing of what it has spent, and a
-    /// window may begin at any moment.
+    /// Fraction of the bound that is used. A restarted process does not know what it has spent before, and
+    /// a window may begin at any moment.
     static constexpr double safetyFactor = 0.75;
 
 private:
--- a/src/libs/decisions/retrybudget.h
+++ b/src/libs/decisions/retrybudget.h
@@ -8,23 +8,24 @@
 
 /// Settings of a retry budget.
 struct retry_budget_limits {
-    double share = 0.1; ///< retries per success: in a full outage load grows by a tenth, not by the tries
-    double floorPerSecond = 0.5; ///< so that a nearly idle node can retry at all
-    double capacity = 10; ///< longest row of retries from savings
+    /// Retries per success: in a full outage the load grows by 10%, not by the number of attempts.
+    double share = 0.1;
+    double floorPerSecond = 0.5; ///< lets a nearly idle node retry
+    double capacity = 10; ///< most retries in a row from saved tokens
 };
 
 /// Bounds retries (and hedges) to a share of the successes.
 ///
-/// Load: saturation and a slow server. Without it each failure is tried again two or three times, the
-/// servers that still work get the load of all tries, and the overload keeps itself alive after its cause
+/// Load: saturation and slow servers. Without it, each failed request is tried two or three times, the
+/// servers that still work get the load of all attempts, and the overload sustains itself after its cause
 /// has gone. Not thread safe.
 class retry_budget {
 public:
     explicit retry_budget(const retry_budget_limits& limits = {});
 
-    /// Adds a success's share.
+    /// Adds the share of one success.
     void succeeded();
-    /// Takes one retry out, or says that there is none.
+    /// Takes one retry, or returns false if none is available.
     bool trySpend(utils::time_point now);
     double available() const { return m_tokens; }
 
--- a/src/libs/decisions/staticshare.cpp
+++ b/src/libs/decisions/staticshare.cpp
@@ -13,7 +13,7 @@
     return utils::combineHashes(utils::hash64(team.str()), utils::hash64(node.str()));
 }
 
-/// Place of `self` in the team's order of the members.
+/// Rank of `self` in the team's order of the members.
 std::size_t rankOf(
     const utils::team_id& team, const utils::node_id& self, const std::vector<utils::node_id>& members)
 {
--- a/src/libs/decisions/teamlimiter.cpp
+++ b/src/libs/decisions/teamlimiter.cpp
@@ -12,7 +12,8 @@
 constexpr utils::duration retrySpreadWindow = std::chrono::seconds(2);
 constexpr utils::duration maxRetryAfter = std::chrono::seconds(60);
 constexpr utils::duration noSlotRetryAfter = std::chrono::seconds(1);
-// A request that waits for a lump may ask so much sooner than one that tops up.
+// While a caller waits for a lease, the request interval is shorter by this factor than when a lease is
+// topped up.
 constexpr int waitingIntervalDivisor = 10;
 constexpr unsigned maxTimeoutDoublings = 3;
 constexpr utils::duration maxFallbackDelay = std::chrono::seconds(4);
@@ -116,11 +117,13 @@
     if (found == m_active.end())
         return;
     team_state& state = found->second;
-    // An older grant must not count: the home has credited it back when it saw the later request.
+    // A grant to an earlier request does not count: the home credited it back when it received the later
+    // request.
     if (state.isAnswered || !state.sentAt || grant.sequence != state.sentSequence)
         return;
     state.isAnswered = true;
-    state.waiting.clear(); // those who wait ask again now, and count again if they must wait on
+    state.waiting
+        .clear(); // waiting requests call admit() again now, and are counted again if they still wait
     if (!grant.isHome) {
         scheduleStaticShare(state, now);
         return;
@@ -180,7 +183,8 @@
 {
     if (state.staticSince)
         return;
-    // While it lasts, a lump is part of the limit that the home accounts for, and better than the share.
+    // A lease that is still valid is part of the limit that the home accounts for, and preferable to the
+    // static share.
     const auto lapsed = state.limit.concurrent > 0 ? state.slotsExpireAt : state.tokensExpireAt;
     state.staticSince = std::max(now, std::min(lapsed, now + maxFallbackDelay));
     state.staticRefilledAt = *state.staticSince;
@@ -216,9 +220,9 @@
         return {};
     if (state.staticTokens < 1) {
         const bool hasNoShare = rate <= 0;
-        // The share starts empty, so that falling back again and again earns nothing. A caller of its first
-        // moments waits for the first token; refused, it would be told that it is over a limit it is not
-        // near.
+        // The static share starts empty, so that repeated changes to it yield no tokens. A caller in the
+        // first moments waits for the first token: a refusal would say that its team is over the limit
+        // although it is far below.
         if (!hasNoShare && state.staticSince && now < *state.staticSince + m_limits.initialAnswerTimeout)
             return { limit_verdict::AwaitGrant, {} };
         return refuseFor(
@@ -230,8 +234,8 @@
 
 utils::duration team_limiter::answerTimeout(const team_state& state) const
 {
-    // Doubled with each try: a later request voids the answer to an earlier one, so over a slow network a
-    // fixed time would void every answer.
+    // The timeout doubles with each attempt: a later request invalidates the answer to an earlier one, so a
+    // fixed timeout would invalidate every answer over a slow network.
     return m_limits.initialAnswerTimeout * (1 << std::min(state.unanswered, maxTimeoutDoublings));
 }
 
@@ -280,8 +284,9 @@
 
 std::uint32_t team_limiter::neededRequests(const team_state& state) const
 {
-    // Rounded down: where requests are rare each asks for itself. Tokens kept for a next one that does not
-    // come in time are lost to the team, and with many nodes that is most of a small limit.
+    // Rounded down: where requests are rare, each one asks for itself. Tokens kept for a next request that
+    // does not arrive in time are lost to the team, and with many nodes these would be most of a small
+    // limit.
     return static_cast<std::uint32_t>(state.demand * utils::toSeconds(m_limits.horizon));
 }
 
@@ -309,7 +314,7 @@
         state.tokens -= request.returnedRequests;
     }
     request.wantedConcurrent = wantedSlots(state);
-    // Lowered before the request goes out: the home may lend the rest to others as soon as it reads this.
+    // Lowered before the request is sent: the home may lend the rest to others as soon as it receives this.
     state.concurrent = std::min(state.concurrent, request.wantedConcurrent);
     request.heldConcurrent = state.limit.concurrent > 0 ? std::max(state.concurrent, state.running) : 0;
     state.waitingAtSend = countOf(state.waiting);
--- a/src/libs/decisions/teamlimiter.h
+++ b/src/libs/decisions/teamlimiter.h
@@ -11,72 +11,74 @@
 
 namespace decisions {
 
-/// Settings of the borrower's side.
+/// Settings of the borrower's side of team limits.
 struct team_limiter_limits {
-    utils::duration requestInterval
-        = std::chrono::milliseconds(500); ///< per team: bounds the control traffic
-    utils::duration initialAnswerTimeout
-        = std::chrono::milliseconds(200); ///< then the home is asked again; doubles
-    unsigned maxUnanswered = 3; ///< asked so often without an answer, the home counts as out of reach
-    utils::duration horizon = std::chrono::seconds(2); ///< a lump should last this long
-    utils::duration returnAfter = std::chrono::seconds(1); ///< without use, free slots go back
-    utils::duration forgetAfter = std::chrono::seconds(30); ///< without traffic a team's state goes
+    /// Interval of requests to the home, per team; bounds the control traffic.
+    utils::duration requestInterval = std::chrono::milliseconds(500);
+    /// Time after which an unanswered request to the home is repeated; doubles with each attempt.
+    utils::duration initialAnswerTimeout = std::chrono::milliseconds(200);
+    unsigned maxUnanswered = 3; ///< requests in a row, after which the home counts as out of reach
+    utils::duration horizon = std::chrono::seconds(2); ///< a lease should cover the demand of this time
+    /// Free slots are returned after this time without traffic.
+    utils::duration returnAfter = std::chrono::seconds(1);
+    /// A team's state is dropped after this time without traffic.
+    utils::duration forgetAfter = std::chrono::seconds(30);
 };
 
-/// What the limiter says about one request.
+/// The limiter's decision on a request.
 enum class limit_verdict {
     Admitted,
-    AwaitGrant, ///< ask again when a grant has come, or after a while, with the same hash
+    AwaitGrant, ///< call admit again with the same hash when a grant has arrived, or after a delay
     Refused
 };
 
-/// A verdict, with the refusal when refused.
+/// A verdict, with the refusal if refused.
 struct limit_answer {
     limit_verdict verdict = limit_verdict::Admitted;
     refusal reason;
 };
 
-/// One node's side of team limits: admits from lumps that the team's home lends.
+/// The node's side of team limits: admits requests from leases that the team's home grants.
 ///
-/// Load: a team's surge. Each node asks for what its own traffic of the last second needs; what it does not
-/// use goes back with the next request. The first request of a team at a node waits one round trip to the
-/// home. While the home says that it has nothing, callers are refused from here without asking it again.
-/// When the home is out of reach the node uses its static share.
+/// Load: a team's surge. Each node requests the amount that its own traffic of the last second needs, and
+/// returns unused amounts with its next request. The first request of a team at a node waits one round trip
+/// to the home. While the home has nothing to lend, callers are refused locally without another request to
+/// the home. When the home is out of reach, the node uses its static share.
 ///
-/// Bounds (R requests a second, C concurrent, E expiry of lumps, n nodes):
-///  - home in reach of all: at most R * (W + E) + B requests in any time W, with B the lender's bucket; at
-///  most
-///    C concurrent.
+/// Bounds (R requests per second, C concurrent requests, E expiry of leases, n nodes):
+///  - All nodes reach the home: at most R * (W + E) + B requests in any time W, where B is the size of the
+///    lender's bucket; at most C concurrent requests.
 ///  - k nodes have lost the home: they use their static shares after E. Once the home's membership has
-///    noticed, it sets these shares aside, and the sum keeps to R and C; until then at most
+///    detected this, the home reserves these shares and the sum keeps to R and C; until then it is at most
 ///    R * (1 + k/n) and C * (1 + k/n).
-///  - the home is lost to all: the sum of the static shares, R and C, besides what still runs from
-///    lapsed lumps, which is never cut off: at most 2C until it has ended.
+///  - No node reaches the home: the sum of the static shares, R and C, and in addition the requests that
+///    still run from expired leases, which are never cut off: at most 2C until these have ended.
 /// Not thread safe.
 class team_limiter {
 public:
     team_limiter(
         utils::node_id self, const team_limiter_limits& limits = {}, std::uint64_t firstSequence = 1);
 
-    /// Sets a team's limit; no limit means that it is always admitted.
+    /// Sets a team's limit. A team without a limit is always admitted.
     void setLimit(const utils::team_id& team, const fleet_limit& limit);
-    /// The nodes that share the limits.
+    /// Sets the nodes that share the limits.
     void setMembers(const std::vector<utils::node_id>& members);
 
-    /// Admits one request of the team or not. Each admitted one needs finished() at its end. `hash` names the
-    /// request: it spreads Retry-After, and a request that asks again while it waits is counted once.
+    /// Decides on one request of the team. Each admitted request needs finished() at its end. `hash`
+    /// identifies the request: it spreads Retry-After, and a request that asks again while it waits is
+    /// counted once.
     limit_answer admit(const utils::team_id& team, std::uint64_t hash, utils::time_point now);
     /// An admitted request has ended.
     void finished(const utils::team_id& team, utils::time_point now);
-    /// The requests to send to the teams' homes now. Call after admit and about every 100 ms.
+    /// Returns the requests to send to the teams' homes now. Call after admit and about every 100 ms.
     std::vector<quota_lease_request> poll(utils::time_point now);
-    /// A home has answered.
+    /// Applies the answer of a home.
     void apply(const quota_lease_grant& grant, utils::time_point now);
-    /// The team's home has moved: asks the new one at the next poll.
+    /// The team's home has moved. The next poll sends a request to the new home.
     void homeMoved(const utils::team_id& team);
 
     unsigned running(const utils::team_id& team) const;
-    /// Teams that take memory and messages now.
+    /// Number of teams that use memory and messages now.
     std::size_t activeCount() const { return m_active.size(); }
 
 private:
@@ -84,14 +86,14 @@
     struct team_state {
         fleet_limit limit;
         std::uint32_t tokens = 0;
-        std::uint32_t concurrent = 0; ///< held
+        std::uint32_t concurrent = 0; ///< slots held
         std::uint32_t running = 0;
-        std::set<std::uint64_t> waiting; ///< hashes of those told to await, each counted once
+        std::set<std::uint64_t> waiting; ///< hashes of requests with verdict AwaitGrant, each counted once
         std::uint32_t waitingAtSend = 0;
         double demand = 0; ///< requests per second, moving average
-        std::uint32_t arrivals = 0; ///< since the last request was sent
+        std::uint32_t arrivals = 0; ///< admitted or refused since the last request was sent to the home
         utils::time_point demandAt {};
-        utils::time_point tokensExpireAt {}; ///< of the tokens
+        utils::time_point tokensExpireAt {};
         utils::time_point slotsExpireAt {};
         utils::duration slotExpiry {};
         utils::time_point deniedUntil {};
@@ -127,7 +129,7 @@
     std::uint64_t m_nextSequence;
     std::vector<utils::node_id> m_members;
     std::map<utils::team_id, fleet_limit> m_fleetLimits; ///< of the limited teams
-    std::map<utils::team_id, team_state> m_active; ///< teams with traffic lately: few on each node
+    std::map<utils::team_id, team_state> m_active; ///< teams with recent traffic; few on each node
 };
 
 } // namespace decisions
--- a/src/libs/decisions/urgency.h
+++ b/src/libs/decisions/urgency.h
@@ -5,10 +5,11 @@
 
 namespace decisions {
 
-/// How many orders of requests are told apart; 0 is the most urgent.
+/// Number of urgency levels; 0 is the most urgent.
 inline constexpr int urgencyLevels = 10;
 
-/// The place of an urgency in a table of all; what lies outside counts as the nearest. Thread safe.
+/// Index of an urgency in an array with one element per level. Values out of range count as the nearest
+/// level. Thread safe.
 constexpr std::size_t urgencyIndex(int urgency)
 {
     return static_cast<std::size_t>(std::clamp(urgency, 0, urgencyLevels - 1));
