--- a/tests/auto/decisions/limiterplay.h
+++ b/tests/auto/decisions/limitersimulation.h
@@ -9,23 +9,23 @@
 #include <string>
 #include <vector>
 
-/// Plays one team's limit over several nodes in virtual time: borrowers, the lender on the first node, and a
-/// network that delays, reorders, loses and cuts by direction.
-class limiter_play {
+/// Simulates one team's limit over several nodes in virtual time: the borrowers, the lender on the first
+/// node, and a network that delays, reorders, loses and cuts messages by direction.
+class limiter_simulation {
 public:
     struct settings {
         std::size_t nodes = 7;
         decisions::fleet_limit limit;
         double loss = 0;
-        utils::duration leastDelay = std::chrono::milliseconds(3);
-        utils::duration mostDelay = std::chrono::milliseconds(5);
+        utils::duration minDelay = std::chrono::milliseconds(3);
+        utils::duration maxDelay = std::chrono::milliseconds(5);
         unsigned seed = 1;
         bool isFirstHome = true;
         decisions::lender_limits lender {};
         decisions::team_limiter_limits limiter {};
     };
 
-    explicit limiter_play(const settings& chosen)
+    explicit limiter_simulation(const settings& chosen)
         : m_settings(chosen)
         , m_lender(chosen.lender)
         , m_random(chosen.seed)
@@ -54,7 +54,7 @@
         m_cutFromHome.at(node) = fromHome;
     }
 
-    /// One request at the node; it ends after `length`. What the caller is told first.
+    /// Sends one request to the node; it runs for `length` once admitted. Returns the first verdict.
     decisions::limit_verdict send(std::size_t node, utils::duration length)
     {
         const auto answer = m_limiters.at(node).admit(team, ++m_requests, m_now);
@@ -65,7 +65,7 @@
         return answer.verdict;
     }
 
-    /// Moves time on by one step of a millisecond.
+    /// Advances the time by one step of a millisecond.
     void step()
     {
         m_now += std::chrono::milliseconds(1);
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Moves time on, calling `each` every millisecond.
+    /// Advances the time, calling `each` every millisecond.
     void run(
         utils::duration length, const std::function<void()>& each = [] {})
     {
@@ -94,10 +94,10 @@
     /// Requests admitted at any node since the start.
     std::size_t admitted() const { return m_admitted.size(); }
     std::size_t running() const { return m_running.size(); }
-    std::size_t mostRunning() const { return m_mostRunning; }
+    std::size_t maxRunning() const { return m_maxRunning; }
     std::size_t messages() const { return m_messages; }
-    /// The largest number of admissions in any window of that length.
-    std::size_t mostIn(utils::duration window) const
+    /// Largest number of admissions in any window of that length.
+    std::size_t maxAdmittedIn(utils::duration window) const
     {
         std::size_t most = 0;
         std::size_t first = 0;
@@ -122,7 +122,7 @@
     {
         m_admitted.push_back(m_now);
         m_running.emplace(m_now + length, node);
-        m_mostRunning = std::max(m_mostRunning, m_running.size());
+        m_maxRunning = std::max(m_maxRunning, m_running.size());
     }
 
     void end()
@@ -152,7 +152,7 @@
         if (isCut || std::bernoulli_distribution(m_settings.loss)(m_random))
             return;
         std::uniform_int_distribution<utils::duration::rep> delay(
-            m_settings.leastDelay.count(), m_settings.mostDelay.count());
+            m_settings.minDelay.count(), m_settings.maxDelay.count());
         m_network.emplace(m_now + utils::duration(delay(m_random)), std::move(action));
     }
 
@@ -190,7 +190,7 @@
     std::multimap<utils::time_point, std::size_t> m_running;
     std::vector<waiting_request> m_awaiting;
     std::vector<utils::time_point> m_admitted;
-    std::size_t m_mostRunning = 0;
+    std::size_t m_maxRunning = 0;
     std::size_t m_messages = 0;
     std::uint64_t m_requests = 0;
 };
--- a/tests/auto/decisions/tst_fairqueue.cpp
+++ b/tests/auto/decisions/tst_fairqueue.cpp
@@ -32,7 +32,7 @@
     return entry;
 }
 
-/// Runs the queue with one slot and tells how often each team was served in the first `count` runs.
+/// Runs the queue with one slot and returns how often each team was served in the first `count` runs.
 std::map<std::string, int> servedByTeam(fair_queue& queue, int count)
 {
     std::map<std::string, int> served;
@@ -58,9 +58,9 @@
 
 BOOST_AUTO_TEST_SUITE(fairqueue)
 
-// A heavy team sends 50 requests at once, then a light team sends 5. The light team's callers must not
-// wait for the 50: both teams are owed the same share of the slot, so of the first ten runs five are the
-// light team's. In order of arrival the light team would come last.
+// A heavy team sends 50 requests at once, then a light team sends 5. The light team's callers must not wait
+// for the 50: both teams are owed the same share of the slot, so five of the first ten runs are the light
+// team's. In order of arrival, the light team would come last.
 BOOST_AUTO_TEST_CASE(heavy_team_does_not_delay_light_team)
 {
     fair_queue queue(oneSlot());
@@ -72,7 +72,7 @@
     BOOST_TEST(served.at("light") == 5);
 }
 
-// Two teams with a backlog, one of weight 3: its callers get three runs for each one of the other's.
+// Two teams with a backlog, one of weight 3: it gets three runs for each run of the other team.
 BOOST_AUTO_TEST_CASE(weights_divide_the_slots)
 {
     fair_queue queue(oneSlot());
@@ -86,8 +86,8 @@
     BOOST_TEST(served.at("one") == 10);
 }
 
-// Drafts of a minute fill the queue, then a caller asks for the state of an order. A slot that drafts may
-// not occupy is free for it at once; without the ceiling it waits for the end of a draft.
+// Drafts of one minute fill the queue, then a caller requests the state of an order. A slot that drafts may
+// not occupy is free for it at once; without the ceiling, it would wait for the end of a draft.
 BOOST_AUTO_TEST_CASE(status_check_starts_at_once_behind_long_drafts)
 {
     fair_queue_limits limits;
@@ -105,9 +105,9 @@
     BOOST_TEST(next->id == 100);
 }
 
-// Lookups arrive without a pause and would take every run. Drafts wait, but of 300 seconds of work they
-// are given their share, so that none waits for ever.
-BOOST_AUTO_TEST_CASE(drafts_go_on_under_endless_lookups)
+// Lookups arrive continuously and would take every run. Drafts wait, but get their share of 300 seconds of
+// work, so that none waits forever.
+BOOST_AUTO_TEST_CASE(drafts_make_progress_under_continuous_lookups)
 {
     fair_queue queue(oneSlot());
     queue.push(makeEntry(1, "writers", priority_class::Draft, 5s), at(0s));
@@ -123,9 +123,9 @@
     BOOST_TEST(drafts == 2);
 }
 
-// The queue is full with one team's backlog when another team's first request comes. The newest of the
-// heavy team makes room and is refused at once, with a time to come back; the light caller is let in.
-BOOST_AUTO_TEST_CASE(full_queue_takes_room_from_the_heaviest_team)
+// The queue is full with one team's backlog when another team's first request arrives. The newest entry of
+// the heavy team is evicted and refused at once with Retry-After; the light team's request is admitted.
+BOOST_AUTO_TEST_CASE(full_queue_evicts_from_the_heaviest_team)
 {
     fair_queue_limits limits = oneSlot();
     limits.maxEntries = 20;
@@ -145,9 +145,9 @@
     BOOST_TEST(queue.size() == 20U);
 }
 
-// One slot is busy for ten seconds when a caller asks who can wait five. It hears "no" at once with a time
-// to come back, and not after five seconds of waiting.
-BOOST_AUTO_TEST_CASE(refuses_at_once_what_would_wait_too_long)
+// The only slot is busy for ten seconds, and a request arrives that may wait five. It is refused at once
+// with Retry-After, not after five seconds in the queue.
+BOOST_AUTO_TEST_CASE(request_that_would_wait_too_long_is_refused_at_once)
 {
     fair_queue_limits limits = oneSlot();
     limits.admission.maxWait.fill(5s);
@@ -161,9 +161,9 @@
     BOOST_TEST(!queue.push(makeEntry(3, "b", priority_class::Chat, 1s), at(6s)).has_value());
 }
 
-// The server stops in the middle of a run: nothing finishes. A queued caller whose deadline can no longer
-// be met is refused at that moment, and is never handed out for dispatch.
-BOOST_AUTO_TEST_CASE(drops_what_cannot_meet_its_deadline)
+// The server stops in the middle of a run, so that no run finishes. A queued request whose deadline can no
+// longer be met is refused at that moment, and is never returned for dispatch.
+BOOST_AUTO_TEST_CASE(entry_that_cannot_meet_its_deadline_is_refused)
 {
     fair_queue queue(oneSlot());
     queue.push(makeEntry(1, "a", priority_class::Chat, 2s), at(0s));
@@ -178,7 +178,7 @@
     BOOST_TEST(!queue.takeNext(at(9s)).has_value());
 }
 
-// A team's approval is withdrawn while its requests wait: they leave the queue and none runs.
+// A team's approval is withdrawn while its requests wait: they are removed from the queue and none runs.
 BOOST_AUTO_TEST_CASE(revoked_team_leaves_the_queue)
 {
     fair_queue queue(oneSlot());
@@ -193,8 +193,8 @@
     BOOST_TEST(!queue.remove(2));
 }
 
-// The server's load bound turns out to be reached after the entry was taken. The caller waits on in its
-// place, before those who came later, and is refused at its old limit, not at a new one.
+// The server's load bound turns out to be reached after the entry was taken. The entry keeps its place,
+// before later arrivals, and is refused at its old latest start time, not at a new one.
 BOOST_AUTO_TEST_CASE(entry_put_back_keeps_place_and_limit)
 {
     fair_queue queue(oneSlot());
@@ -209,9 +209,9 @@
     BOOST_TEST(again->id == 1);
 }
 
-// A server becomes ten times slower. The runs that are still going show it before any has finished, and
-// callers who would wait too long are refused at once.
-BOOST_AUTO_TEST_CASE(slow_server_is_seen_from_what_still_runs)
+// A server becomes ten times slower. The running requests show this before any of them has finished, and
+// requests that would wait too long are refused at once.
+BOOST_AUTO_TEST_CASE(slow_server_is_detected_from_running_requests)
 {
     fair_queue_limits limits = oneSlot();
     limits.admission.maxWait.fill(5s);
--- a/tests/auto/decisions/tst_fetchgate.cpp
+++ b/tests/auto/decisions/tst_fetchgate.cpp
@@ -17,14 +17,14 @@
     return utils::time_point {} + 1h + since;
 }
 
-/// Followers of the store, some of which are being cut off: their beats still come, their answers don't.
+/// Followers of the store, some of which are cut off: their heartbeats still arrive, their answers do not.
 struct cut_followers {
-    std::vector<utils::duration> beatAfter; ///< of each follower, from the change to its first beat
+    std::vector<utils::duration> firstHeartbeat; ///< per follower, from the change to its first heartbeat
     std::vector<bool> isCut;
 
-    static constexpr utils::duration beatPeriod = 250ms;
+    static constexpr utils::duration heartbeatPeriod = 250ms;
     static constexpr utils::duration answerTime = 20ms;
-    static constexpr utils::duration fetchTime = 500ms; ///< after which nobody waits for an answer
+    static constexpr utils::duration fetchTimeout = 500ms;
 };
 
 cut_followers drawFollowers(std::mt19937& random)
@@ -33,38 +33,38 @@
     constexpr int cut = 3;
     cut_followers followers;
     for (int i = 0; i < all; ++i) {
-        followers.beatAfter.push_back(std::chrono::milliseconds(random() % 250));
+        followers.firstHeartbeat.push_back(std::chrono::milliseconds(random() % 250));
         followers.isCut.push_back(i < cut);
     }
     return followers;
 }
 
-/// When a resting node knows of a change; nothing for no later than two seconds.
+/// Time until a node that does not follow the store knows of a change, capped at two seconds.
 template <class Begin, class Fail>
-utils::duration knownAfter(const cut_followers& followers, const Begin& begin, const Fail& fail)
+utils::duration timeUntilKnown(const cut_followers& followers, const Begin& begin, const Fail& fail)
 {
     struct fetch {
         std::string peer;
         utils::duration over;
         bool isAnswered = false;
     };
-    std::vector<fetch> underWay;
+    std::vector<fetch> inFlight;
     for (utils::duration since {}; since < 2s; since += 1ms) {
-        for (const fetch& each : underWay) {
+        for (const fetch& each : inFlight) {
             if (each.over == since && each.isAnswered)
                 return since;
             if (each.over == since)
                 fail(each.peer, since);
         }
-        for (std::size_t i = 0; i < followers.beatAfter.size(); ++i) {
-            const bool beats = since >= followers.beatAfter[i]
-                && (since - followers.beatAfter[i]) % cut_followers::beatPeriod == 0ms;
+        for (std::size_t i = 0; i < followers.firstHeartbeat.size(); ++i) {
+            const bool isHeartbeat = since >= followers.firstHeartbeat[i]
+                && (since - followers.firstHeartbeat[i]) % cut_followers::heartbeatPeriod == 0ms;
             const std::string peer = "vm-" + std::to_string(i);
-            if (!beats || !begin(peer, since))
+            if (!isHeartbeat || !begin(peer, since))
                 continue;
             const bool isCut = followers.isCut[i];
-            const utils::duration takes = isCut ? cut_followers::fetchTime : cut_followers::answerTime;
-            underWay.push_back({ peer, since + takes, !isCut });
+            const utils::duration takes = isCut ? cut_followers::fetchTimeout : cut_followers::answerTime;
+            inFlight.push_back({ peer, since + takes, !isCut });
         }
     }
     return 2s;
@@ -72,24 +72,25 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(fetch_gates)
+BOOST_AUTO_TEST_SUITE(fetchgate)
 
-// Callers see their requests go on to a server that has left. A node that rests hears of the leaving from the
-// beat of a follower that is cut off in that moment, and waits for its answer while seven others could tell.
-// Three followers of eight are cut off; each play draws another order of beats.
-BOOST_AUTO_TEST_CASE(a_peer_that_is_cut_off_holds_up_no_news)
+// Guards against requests that still go to a server after it has left. A node that relies on peers learns
+// of the leaving server from the heartbeat of a follower that is cut off at that moment, and waits for its
+// answer while seven others could answer. Three of eight followers are cut off; each run draws another
+// order of heartbeats.
+BOOST_AUTO_TEST_CASE(a_cut_off_peer_does_not_delay_changes)
 {
     std::mt19937 random(20261203);
     utils::duration worstAlone {};
     utils::duration worstJoined {};
-    for (int play = 0; play < 500; ++play) {
+    for (int run = 0; run < 500; ++run) {
         const cut_followers followers = drawFollowers(random);
         bool isFetching = false;
-        const utils::duration alone = knownAfter(
+        const utils::duration alone = timeUntilKnown(
             followers, [&](const std::string&, utils::duration) { return !std::exchange(isFetching, true); },
             [&](const std::string&, utils::duration) { isFetching = false; });
         fetch_gate gate;
-        const utils::duration joined = knownAfter(
+        const utils::duration joined = timeUntilKnown(
             followers,
             [&](const std::string& peer, utils::duration since) {
                 return gate.tryBegin(peer, at(since), at(since)) != fetch_start::No;
@@ -98,15 +99,15 @@
         worstAlone = std::max(worstAlone, alone);
         worstJoined = std::max(worstJoined, joined);
     }
-    BOOST_TEST_MESSAGE("worst, asked one at a time " << worstAlone.count() / 1000 << " ms, with a second "
-                                                     << worstJoined.count() / 1000 << " ms");
+    BOOST_TEST_MESSAGE("worst delay, one peer at a time "
+        << worstAlone.count() / 1000 << " ms, with a second peer " << worstJoined.count() / 1000 << " ms");
     BOOST_TEST((worstAlone >= 1500ms));
     BOOST_TEST((worstJoined <= 1200ms));
 }
 
-// The first peer is only to be asked if the store has not told by then. No second one is asked before, nor
-// while the first has had no time to answer.
-BOOST_AUTO_TEST_CASE(a_second_peer_waits_for_a_slow_first)
+// The first peer is to be asked only if the store has not reported the change by then. No second peer is
+// asked before that, nor before the first one has had time to answer.
+BOOST_AUTO_TEST_CASE(a_second_peer_is_asked_only_beside_a_slow_first)
 {
     fetch_gate gate;
     BOOST_TEST((gate.tryBegin("vm-1", at(0ms), at(500ms)) == fetch_start::First));
@@ -122,8 +123,9 @@
     BOOST_TEST((gate.tryBegin("vm-1", at(3s), at(3s)) == fetch_start::First));
 }
 
-// A peer that did not answer goes on to be heard. The others come first, it has its turn again later.
-BOOST_AUTO_TEST_CASE(a_silent_peer_is_passed_over)
+// The heartbeats of a peer that did not answer still arrive. Other peers are asked first; the peer is asked
+// again later.
+BOOST_AUTO_TEST_CASE(a_failed_peer_is_skipped)
 {
     fetch_gate gate;
     BOOST_TEST((gate.tryBegin("vm-1", at(0ms), at(0ms)) == fetch_start::First));
--- a/tests/auto/decisions/tst_followrule.cpp
+++ b/tests/auto/decisions/tst_followrule.cpp
@@ -23,15 +23,16 @@
     return all;
 }
 
-/// How many nodes follow when all hear all, and `changes` changes come in a minute, each waking a watch.
-std::size_t callsOfAMinute(std::size_t nodes, std::size_t changes, bool allFollow)
+/// Store calls per minute of a fleet without faults, with `changes` changes per minute that each wake every
+/// watch.
+std::size_t callsPerMinute(std::size_t nodes, std::size_t changes, bool allFollow)
 {
-    constexpr std::size_t quietCalls = 30; // a watch is asked again every 2 s
+    constexpr std::size_t idleCalls = 30; // a watch is renewed every 2 s
     const auto all = names(nodes);
     std::size_t calls = 0;
     for (const std::string& name : all) {
         const bool follows = allFollow || shouldFollowStore({ name, without(all, name), 8 });
-        calls += follows ? quietCalls + changes : 0;
+        calls += follows ? idleCalls + changes : 0;
     }
     return calls;
 }
@@ -40,19 +41,21 @@
 
 BOOST_AUTO_TEST_SUITE(following_the_store)
 
-// Eighty nodes and a release of half of 140 servers, three changes each. If all follow, each change wakes
-// all.
+// 80 nodes, and a release of half of 140 servers with about three changes each. If all nodes follow, each
+// change wakes all of them.
 BOOST_AUTO_TEST_CASE(few_nodes_follow_in_a_large_fleet)
 {
-    const std::size_t all = callsOfAMinute(80, 200, true);
-    const std::size_t few = callsOfAMinute(80, 200, false);
-    BOOST_TEST_MESSAGE("calls of a minute: " << all << " if all follow, " << few);
+    const std::size_t all = callsPerMinute(80, 200, true);
+    const std::size_t few = callsPerMinute(80, 200, false);
+    BOOST_TEST_MESSAGE(
+        "store calls per minute: " << all << " if all nodes follow, with few followers " << few);
     BOOST_TEST(few * 10 == all);
-    // A small fleet loses nothing by following with all its nodes.
-    BOOST_TEST(callsOfAMinute(7, 200, false) == callsOfAMinute(7, 200, true));
+    // A small fleet makes the same calls, since all its nodes follow.
+    BOOST_TEST(callsPerMinute(7, 200, false) == callsPerMinute(7, 200, true));
 }
 
-// Nodes that see the same fleet agree on who follows; one that does not see all of it may follow beside them.
+// Nodes that see the same fleet agree on the followers. A node that does not see all of it may follow in
+// addition.
 BOOST_AUTO_TEST_CASE(nodes_agree_on_the_followers)
 {
     const auto all = names(80);
@@ -71,9 +74,9 @@
     }
 }
 
-// A node loses its followers, or hears only one, which may have lost the store without knowing: it would not
-// hear of a key that is taken away. It follows itself at once, wherever it stands in the order.
-BOOST_AUTO_TEST_CASE(a_node_that_hears_too_few_followers_follows)
+// A node hears no followers, or only one, which may have lost the store without noticing: it would miss the
+// removal of a key. It follows the store itself at once, regardless of its place in the order.
+BOOST_AUTO_TEST_CASE(a_node_that_hears_too_few_followers_follows_the_store)
 {
     const auto all = names(80);
     for (const std::string& name : all) {
@@ -82,8 +85,9 @@
     }
 }
 
-// The store is away for all. Eight hundred nodes must not ask it 2,700 times a second for as long.
-BOOST_AUTO_TEST_CASE(the_pause_grows_with_the_fleet)
+// The store is unreachable for all nodes. A fleet of 800 nodes must not call it 2,700 times a second during
+// the outage.
+BOOST_AUTO_TEST_CASE(the_retry_delay_grows_with_the_fleet)
 {
     BOOST_TEST((decisions::storeRetryDelay(1, 5) == 300ms));
     BOOST_TEST((decisions::storeRetryDelay(7, 5) == 300ms));
@@ -91,22 +95,22 @@
     BOOST_TEST((decisions::storeRetryDelay(800, 2) == 2s));
 }
 
-// A waiting watch is cut, on all eight followers at once, and the store is well. With the pause of an outage
-// a large fleet would not hear of a server that leaves for two seconds of the three that it has.
-BOOST_AUTO_TEST_CASE(a_cut_watch_is_asked_again_soon)
+// The watches of all eight followers are cut at the same time while the store works. With the delay for an
+// outage, a large fleet would not learn of a leaving server for two of the three seconds that it has.
+BOOST_AUTO_TEST_CASE(a_cut_watch_is_retried_soon)
 {
     BOOST_TEST((decisions::storeRetryDelay(800, 1) == 300ms));
 }
 
-// The store turns some nodes away while a server leaves. These keep for 1.9 s what went, as in an outage; a
-// node that hears followers must not take over their doubts, or callers are sent to the server after it has
-// left.
-BOOST_AUTO_TEST_CASE(only_followers_are_believed_where_there_are_some)
+// The store rejects some nodes while a server leaves. These nodes keep the removed entry for 1.9 s, as in
+// an outage. A node that hears followers must not copy it from them, or callers are sent to the server
+// after it has left.
+BOOST_AUTO_TEST_CASE(only_followers_are_trusted_while_some_are_heard)
 {
     BOOST_TEST(decisions::isTrustedSource(true, 0));
     BOOST_TEST(decisions::isTrustedSource(true, 8));
     BOOST_TEST(!decisions::isTrustedSource(false, 2));
-    // Without followers anybody who knows more helps.
+    // Without followers, any peer with a newer view is accepted.
     BOOST_TEST(decisions::isTrustedSource(false, 1));
 }
 
--- a/tests/auto/decisions/tst_limitstart.cpp
+++ b/tests/auto/decisions/tst_limitstart.cpp
@@ -4,10 +4,10 @@
 
 using decisions::limit_verdict;
 
-// What the caller sees: the first request of a team right after the fleet started. The team's home lends
-// nothing for its first seconds, so the node falls back to its static share, whose bucket is empty at that
-// moment. The caller was refused with 429 although the team was far below its limit. It has to wait for the
-// share's first token, a few milliseconds, instead.
+// Guards against a refusal of the first request of a team right after the fleet has started. The team's
+// home lends nothing in its first seconds, so the node uses its static share, whose bucket is empty at that
+// moment. The caller was refused with 429 although the team was far below its limit. It must wait a few
+// milliseconds for the first token of the share.
 BOOST_AUTO_TEST_CASE(the_first_caller_after_a_fallback_waits_for_the_shares_first_token)
 {
     using namespace std::chrono_literals;
--- a/tests/auto/decisions/tst_loadshedding.cpp
+++ b/tests/auto/decisions/tst_loadshedding.cpp
@@ -26,19 +26,19 @@
 constexpr int kinds = 3; ///< by urgency
 constexpr std::array<double, kinds> workSeconds { 1.5, 1.0, 0.2 };
 constexpr std::array<utils::duration, kinds> targets { 1s, 800ms, 1200ms };
-constexpr utils::duration patience = 4s;
+constexpr utils::duration callerTimeout = 4s;
 
 struct kind_outcome {
     unsigned asked = 0;
     unsigned refused = 0;
     unsigned inTime = 0;
-    unsigned givenUp = 0; ///< let in, and not begun before its caller left
+    unsigned givenUp = 0; ///< admitted, but not started before the caller gave up
     double share(unsigned part) const { return asked == 0 ? 0 : static_cast<double>(part) / asked; }
 };
 
-/// One server with slots that takes the most urgent that waits first, and one node in front of it. In
-/// milliseconds: `load(t)` times as much work comes as it can do.
-class shed_play {
+/// One server that starts the most urgent waiting request first, and one node in front of it. Times in
+/// milliseconds; `load(t)` is the offered work relative to the capacity.
+class shedding_simulation {
 public:
     std::array<kind_outcome, kinds> run(int from, int until, const std::function<double(int)>& load)
     {
@@ -46,8 +46,8 @@
         for (int now = from; now < until; ++now) {
             advance(now, outcome);
             for (int kind = 0; kind < kinds; ++kind) {
-                if (unit() < load(now) * slots / (kinds * workSeconds[kind] * 1000))
-                    ask(kind, now, outcome[static_cast<std::size_t>(kind)]);
+                if (uniform() < load(now) * slots / (kinds * workSeconds[kind] * 1000))
+                    arrive(kind, now, outcome[static_cast<std::size_t>(kind)]);
             }
         }
         return outcome;
@@ -59,27 +59,27 @@
         int since;
     };
 
-    double unit() { return static_cast<double>(m_random() % 1000000) / 1000000; }
+    double uniform() { return static_cast<double>(m_random() % 1000000) / 1000000; }
 
-    void ask(int kind, int now, kind_outcome& outcome)
+    void arrive(int kind, int now, kind_outcome& outcome)
     {
         ++outcome.asked;
-        const auto place = static_cast<std::size_t>(kind);
-        m_shedder.recordTarget(kind, targets[place]);
+        const auto index = static_cast<std::size_t>(kind);
+        m_shedder.recordTarget(kind, targets[index]);
         shed_query query;
         const auto held = static_cast<unsigned>(m_running.size() + waiting());
         query.slotWait = m_times.slotWait(held, slots, kind);
         query.queueing = query.slotWait + m_times.forecast(0).expected();
         query.expectedAnswer = query.queueing;
-        query.target = targets[place];
-        query.timeLeft = patience;
+        query.target = targets[index];
+        query.timeLeft = callerTimeout;
         query.urgency = kind;
         query.hash = m_random();
         if (m_shedder.decide(query, at(std::chrono::milliseconds(now)))) {
             ++outcome.refused;
             return;
         }
-        m_waiting[place].push({ kind, now });
+        m_waiting[index].push({ kind, now });
     }
 
     std::size_t waiting() const
@@ -98,14 +98,14 @@
             while (!queue.empty() && m_running.size() < slots) {
                 const waiting_request next = queue.front();
                 queue.pop();
-                const auto place = static_cast<std::size_t>(next.kind);
+                const auto index = static_cast<std::size_t>(next.kind);
                 const auto waited = std::chrono::milliseconds(now - next.since);
-                if (waited >= patience) {
-                    ++outcome[place].givenUp;
+                if (waited >= callerTimeout) {
+                    ++outcome[index].givenUp;
                     continue;
                 }
-                outcome[place].inTime += waited <= targets[place] ? 1 : 0;
-                const double work = workSeconds[place] * (0.5 + unit());
+                outcome[index].inTime += waited <= targets[index] ? 1 : 0;
+                const double work = workSeconds[index] * (0.5 + uniform());
                 m_running.push(now + static_cast<int>(work * 1000));
                 m_times.ended(next.kind, utils::fromSeconds(work));
             }
@@ -123,23 +123,24 @@
 
 BOOST_AUTO_TEST_SUITE(loadshedding)
 
-// Guards against refusals where there is room.
+// Guards against refusals while there is free capacity.
 BOOST_AUTO_TEST_CASE(nobody_is_refused_below_saturation)
 {
-    shed_play play;
-    for (const kind_outcome& kind : play.run(0, 30000, [](int) { return 0.7; })) {
+    shedding_simulation simulation;
+    for (const kind_outcome& kind : simulation.run(0, 30000, [](int) { return 0.7; })) {
         BOOST_TEST(kind.refused == 0u);
         BOOST_TEST(kind.share(kind.inTime) > 0.95);
     }
 }
 
-// Guards against thousands that wait until their callers leave: beyond saturation what cannot be served is
-// refused at once, and what is let in is served, the most urgent like below saturation.
-BOOST_AUTO_TEST_CASE(saturation_is_refused_at_once_and_the_urgent_are_served)
+// Guards against thousands of requests that wait until their callers give up: beyond saturation, excess
+// requests are refused at once, admitted ones are served, and the most urgent ones are served as below
+// saturation.
+BOOST_AUTO_TEST_CASE(excess_load_is_refused_at_once_and_urgent_requests_are_served)
 {
     for (const double load : { 1.5, 2.5 }) {
-        shed_play play;
-        const auto kinds = play.run(0, 30000, [load](int) { return load; });
+        shedding_simulation simulation;
+        const auto kinds = simulation.run(0, 30000, [load](int) { return load; });
         for (const kind_outcome& kind : kinds)
             BOOST_TEST(kind.share(kind.givenUp) < 0.02);
         BOOST_TEST(kinds[0].share(kinds[0].inTime) > 0.9);
@@ -148,20 +149,21 @@
     }
 }
 
-// Guards against a fleet that stays overloaded after the load has gone: five seconds later all is as before.
-BOOST_AUTO_TEST_CASE(all_is_served_again_after_saturation)
+// Guards against a fleet that stays overloaded after the load has gone: five seconds later, all requests
+// are served as before.
+BOOST_AUTO_TEST_CASE(all_requests_are_served_again_after_saturation)
 {
-    shed_play play;
+    shedding_simulation simulation;
     const auto load = [](int now) { return now >= 5000 && now < 35000 ? 2.5 : 0.6; };
-    play.run(0, 40000, load);
-    for (const kind_outcome& kind : play.run(40000, 60000, load)) {
+    simulation.run(0, 40000, load);
+    for (const kind_outcome& kind : simulation.run(40000, 60000, load)) {
         BOOST_TEST(kind.refused == 0u);
         BOOST_TEST(kind.share(kind.inTime) > 0.95);
     }
 }
 
-// Guards against returns that come together or before there can be room for them.
-BOOST_AUTO_TEST_CASE(callers_return_as_fast_as_they_can_be_served)
+// Guards against retries that come together, or before there can be room for them.
+BOOST_AUTO_TEST_CASE(callers_retry_at_the_rate_at_which_they_can_be_served)
 {
     load_shedder shedder;
     shed_query query;
@@ -176,13 +178,13 @@
         pauses.push_back(shedder.decide(query, at(2s + i * 2ms))->retryAfter);
     }
     BOOST_TEST((pauses.front() < 1s));
-    // As many refused as served within the counting time: five seconds or more.
-    const auto [least, most] = std::ranges::minmax(std::vector(pauses.end() - 100, pauses.end()));
-    BOOST_TEST((least > 4s));
-    BOOST_TEST((most > 1.5 * least));
+    // As many requests refused as served within the decay time: five seconds or more.
+    const auto [shortest, longest] = std::ranges::minmax(std::vector(pauses.end() - 100, pauses.end()));
+    BOOST_TEST((shortest > 4s));
+    BOOST_TEST((longest > 1.5 * shortest));
 }
 
-// Guards against work that is less urgent being let in while more urgent work is refused.
+// Guards against less urgent requests that are admitted while more urgent ones are refused.
 BOOST_AUTO_TEST_CASE(limits_fall_with_urgency)
 {
     load_shedder shedder;
--- a/tests/auto/decisions/tst_poisonregister.cpp
+++ b/tests/auto/decisions/tst_poisonregister.cpp
@@ -56,10 +56,10 @@
 
 BOOST_AUTO_TEST_SUITE(poisonregister)
 
-// One request crashes the engine that runs it, with eight innocent chats beside it; all nine callers send
-// again. All are suspects and run alone: the poison one crashes a second engine and is refused from then on,
-// the innocent ones get their answers and are free again.
-BOOST_AUTO_TEST_CASE(second_crash_refuses_the_poison_and_nobody_else)
+// One request crashes the engine that runs it together with eight innocent chats; all nine callers repeat
+// their requests. All are suspects and run alone: the poison request crashes a second engine and is refused
+// from then on, the innocent ones are answered and cleared.
+BOOST_AUTO_TEST_CASE(second_crash_refuses_only_the_poison_request)
 {
     poison_register strikes;
     const auto inFlight = withInnocents(8);
@@ -76,9 +76,9 @@
     }
 }
 
-// The caller sends the refused request again through another node, which has only heard of the strikes by
-// the digests of the fleet: it is refused there at once too, and may run again after the lifetime.
-BOOST_AUTO_TEST_CASE(refused_on_every_node_for_a_while)
+// The caller repeats the refused request through another node, which knows the strikes only from the
+// fleet's digests. It is refused there at once too, and may run again after the lifetime.
+BOOST_AUTO_TEST_CASE(refused_on_every_node_until_expiry)
 {
     poison_register first;
     poison_register second;
@@ -90,10 +90,10 @@
     BOOST_TEST((second.check(poison, at(31min)) == poison_verdict::Run));
 }
 
-// Two nodes each lose an engine to the same request, at the same time, before either heard of the other.
-// Neither crash was of the request alone, so an innocent one that was in both is not refused either: both
-// run alone next, and only the one that crashes alone is convicted.
-BOOST_AUTO_TEST_CASE(crashes_on_two_nodes_at_once_convict_no_neighbour)
+// Two nodes each lose an engine to the same request before either has heard of the other's crash. The
+// request was alone in neither crash, so an innocent request that was in both is not refused either: both
+// run alone next, and only the one that crashes an engine alone is convicted.
+BOOST_AUTO_TEST_CASE(concurrent_crashes_on_two_nodes_convict_no_innocent_request)
 {
     poison_register first;
     poison_register second;
@@ -108,8 +108,8 @@
     BOOST_TEST((first.check(inFlight[1], at(2s)) == poison_verdict::RunAlone));
 }
 
-// A rack fails: four engines are gone within a second, each with its own requests in flight. No request is
-// in four engines, so none of them is kept back; their callers are served at once by the other engines.
+// A rack fails: four engines fail within a second, each with its own requests in flight. No request ran on
+// all four engines, so none is a suspect, and the other engines serve them at once.
 BOOST_AUTO_TEST_CASE(failed_rack_makes_no_suspects)
 {
     poison_register strikes;
@@ -124,10 +124,10 @@
         BOOST_TEST((strikes.check(digest, at(2s)) == poison_verdict::Run));
 }
 
-// Two nodes keep telling each other of a strike over a link of a quarter of a second, so that a message sent
-// before the strike lapsed arrives after it. It lapses all the same: its lifetime does not grow by being
-// passed around, and a lapsed strike is not taken in again.
-BOOST_AUTO_TEST_CASE(strikes_lapse_though_they_are_passed_around)
+// Two nodes exchange a strike continuously over a link with a delay of 250 ms, so that a message sent
+// before the strike expired arrives after it. The strike expires all the same: passing it around does not
+// extend its lifetime, and an expired strike is not added again.
+BOOST_AUTO_TEST_CASE(strikes_expire_although_they_are_exchanged)
 {
     poison_register first;
     poison_register second;
@@ -152,8 +152,8 @@
     BOOST_TEST(first.size() == 0U);
 }
 
-// Strikes arrive in any order and any number of times on the way through the fleet: all nodes that have
-// heard the same say the same.
+// Strikes arrive in any order and any number of times: all nodes that have received the same strikes decide
+// the same.
 RC_BOOST_PROP(merge_is_commutative_and_idempotent, ())
 {
     const auto a = *rc::gen::container<std::vector<poison_strike>>(rc::gen::exec(randomStrike));
--- a/tests/auto/decisions/tst_repeatallowance.cpp
+++ b/tests/auto/decisions/tst_repeatallowance.cpp
@@ -30,8 +30,8 @@
     }
 };
 
-/// Seven nodes, a failing service: every request wants a repeat. Traffic stops and comes back.
-sent_times playFailingService(const repeat_limits& limits)
+/// Seven nodes and a failing service: each request needs a repeat. Traffic stops and resumes.
+sent_times simulateFailingService(const repeat_limits& limits)
 {
     std::vector<repeat_allowance> nodes(7, repeat_allowance(limits, 9));
     std::mt19937_64 random(20261203);
@@ -56,13 +56,13 @@
 
 BOOST_AUTO_TEST_SUITE(repeats)
 
-// A service fails everything. Each node repeats what its own share allows; in no window of the users do all
-// nodes together send more than the bound, whichever of the windows before has most requests.
+// A service fails all requests. Each node repeats what its own share allows. In no window do all nodes
+// together send more than the bound, whichever of the preceding windows has the most requests.
 BOOST_AUTO_TEST_CASE(all_nodes_together_keep_the_bound_in_every_window)
 {
     const repeat_limits limits;
-    const sent_times sent = playFailingService(limits);
-    double most = 0;
+    const sent_times sent = simulateFailingService(limits);
+    double largestUse = 0;
     for (int ms = 0; ms < 60000; ms += 50) {
         const utils::time_point from = at(ms * 1ms);
         const double repeats = sent_times::within(sent.repeats, from, limits.window);
@@ -70,30 +70,30 @@
         for (const utils::duration before : { utils::duration(0), limits.window / 2, limits.window })
             requests = std::max(requests, sent_times::within(sent.first, from - before, limits.window));
         BOOST_REQUIRE(repeats <= limits.ratio * requests + limits.extra);
-        most = std::max(most, repeats / (limits.ratio * requests + limits.extra));
+        largestUse = std::max(largestUse, repeats / (limits.ratio * requests + limits.extra));
     }
-    BOOST_TEST_MESSAGE("most of the bound that was used: " << most);
-    BOOST_TEST(most > 0.5);
+    BOOST_TEST_MESSAGE("largest used fraction of the bound: " << largestUse);
+    BOOST_TEST(largestUse > 0.5);
 }
 
-BOOST_AUTO_TEST_CASE(an_idle_node_repeats_a_little_and_a_larger_fleet_less)
+BOOST_AUTO_TEST_CASE(the_share_of_an_idle_node_shrinks_with_the_fleet)
 {
     const repeat_limits limits;
-    repeat_allowance few(limits, 9);
-    repeat_allowance many(limits, 9);
-    many.setNodes(54);
-    many.setNodes(2);
-    int spentByFew = 0;
-    int spentByMany = 0;
-    while (few.trySpend(at(0s)))
-        ++spentByFew;
-    while (many.trySpend(at(0s)))
-        ++spentByMany;
-    BOOST_TEST(spentByFew == 4);
-    BOOST_TEST(spentByMany == 0);
+    repeat_allowance small(limits, 9);
+    repeat_allowance large(limits, 9);
+    large.setNodes(54);
+    large.setNodes(2);
+    int spentBySmall = 0;
+    int spentByLarge = 0;
+    while (small.trySpend(at(0s)))
+        ++spentBySmall;
+    while (large.trySpend(at(0s)))
+        ++spentByLarge;
+    BOOST_TEST(spentBySmall == 4);
+    BOOST_TEST(spentByLarge == 0);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_spent_comes_back_after_a_window)
+BOOST_AUTO_TEST_CASE(spent_repeats_return_after_a_window)
 {
     repeat_allowance allowance(repeat_limits(), 9);
     while (allowance.trySpend(at(0s)))
@@ -102,9 +102,9 @@
     BOOST_TEST(allowance.trySpend(at(11s)));
 }
 
-// A server crashes: connecting fails at once. It is left out for a short time that doubles, whoever else
-// fails, and a success ends that.
-BOOST_AUTO_TEST_CASE(an_unreachable_server_is_left_out_for_a_while)
+// A server crashes and connections fail at once. It is skipped for a short time that doubles, also while
+// other servers fail, and a success ends the backoff.
+BOOST_AUTO_TEST_CASE(an_unreachable_server_is_paused_with_backoff)
 {
     decisions::server_health health { decisions::outlier_limits() };
     const utils::server_id a("a");
@@ -122,9 +122,9 @@
     BOOST_TEST(!health.isPaused(a, at(2500ms)));
 }
 
-// Engines always run many requests, so no suspect is ever alone. Three crashes without an end between
-// convict; two do not, and an end clears.
-BOOST_AUTO_TEST_CASE(three_crashes_in_company_convict)
+// Engines always run many requests, so that no suspect is ever alone. Three crashes without a completed run
+// in between convict a request, two do not, and a completed run clears it.
+BOOST_AUTO_TEST_CASE(three_shared_crashes_convict)
 {
     decisions::poison_limits limits;
     limits.crashes = 3;
--- a/tests/auto/decisions/tst_retries.cpp
+++ b/tests/auto/decisions/tst_retries.cpp
@@ -45,9 +45,10 @@
 
 BOOST_AUTO_TEST_SUITE(retries)
 
-// A payment's connection breaks after it was sent: it may have run, and a second try could charge twice.
-// A lookup in the same place is tried again; so is a payment that the server surely did not take.
-BOOST_AUTO_TEST_CASE(only_what_did_not_run_or_is_idempotent_is_retried)
+// The connection of a payment breaks after it was sent: it may have run, and a second attempt could charge
+// twice. A lookup in the same state is retried, and so is a payment that is known not to have reached a
+// server.
+BOOST_AUTO_TEST_CASE(only_requests_that_did_not_run_or_are_idempotent_are_retried)
 {
     BOOST_TEST(!mayRetry(attemptOf(error_kind::ServerFailed, run_state::MayHaveRun, false)));
     BOOST_TEST(mayRetry(attemptOf(error_kind::ServerFailed, run_state::MayHaveRun, true)));
@@ -55,8 +56,8 @@
     BOOST_TEST(!mayRetry(attemptOf(error_kind::ServerFailed, run_state::Ran, false)));
 }
 
-// A final answer goes out at once: limits, poison and approvals are not tried elsewhere, nor is an answer
-// whose first bytes the caller has, nor one whose deadline would pass before the end.
+// Final refusals are sent at once: limits, poison and approvals are not retried elsewhere, and neither are
+// answers whose first bytes the caller has, nor requests whose deadline would pass before the end.
 BOOST_AUTO_TEST_CASE(final_refusals_and_begun_answers_are_not_retried)
 {
     for (const auto kind : { error_kind::PoisonRequest, error_kind::RateLimited, error_kind::NotApproved })
@@ -72,8 +73,8 @@
     BOOST_TEST(!mayRetry(third));
 }
 
-// All servers fail for a minute at 100 requests a second. With a budget the servers see about a tenth
-// more tries at most, while without one each caller's three tries would treble the load.
+// All servers fail for a minute at 100 requests a second. With the budget, the servers see about 10% more
+// attempts at most; without it, three attempts for each request would triple the load.
 BOOST_AUTO_TEST_CASE(outage_is_not_amplified_by_retries)
 {
     decisions::retry_budget budget;
@@ -86,8 +87,9 @@
     BOOST_TEST(budget.trySpend(at(61s)));
 }
 
-// One lookup in ten lands on a slow server. After a while the slowest are asked a second time at the
-// measured 95th percentile; when all servers turn slow the second requests stay within a twentieth.
+// Four in a hundred lookups land on a slow server. After enough samples, the slowest lookups get a second
+// request at the measured 95th percentile. When all servers become slow, the second requests stay within
+// 5%.
 BOOST_AUTO_TEST_CASE(hedges_stay_within_their_budget)
 {
     decisions::hedge_policy policy;
@@ -104,8 +106,8 @@
     BOOST_TEST(hedges <= 55);
 }
 
-// A server fails five times in a row: it gets no more callers, then few, then its share again. One that
-// fails while it is probed is out again for twice as long.
+// A server fails five times in a row: it gets no requests, then few, then its full share again. If it fails
+// while it is probed, it is ejected for twice as long.
 BOOST_AUTO_TEST_CASE(failing_server_is_ejected_and_probed_back)
 {
     decisions::outlier_ejector ejector;
@@ -122,8 +124,8 @@
     BOOST_TEST(ejector.weight(servers[0], at(60s)) == 1.0);
 }
 
-// A server answers, but ten times slower than its peers: its callers would give up. It is ejected by
-// comparison. When all are equally slow nobody is.
+// A server answers ten times slower than its peers, so that its callers would give up. It is ejected by
+// comparison. When all servers are equally slow, none is ejected.
 BOOST_AUTO_TEST_CASE(slow_server_is_ejected_against_its_peers)
 {
     decisions::outlier_ejector ejector;
@@ -145,9 +147,9 @@
     BOOST_TEST(allSlow.ejectedCount(at(4s)) == 0U);
 }
 
-// The platform's network fails for all servers at once. Half of them stay in the choice: slow or failing
-// answers for some are better than a refusal for all.
-BOOST_AUTO_TEST_CASE(common_failure_leaves_the_floor)
+// The platform's network fails for all servers at once. Half of them stay selectable: slow or failing
+// answers for some callers are better than a refusal for all.
+BOOST_AUTO_TEST_CASE(common_failure_keeps_half_of_the_servers)
 {
     decisions::outlier_ejector ejector;
     const auto servers = makeServers(6);
--- a/tests/auto/decisions/tst_viewlag.cpp
+++ b/tests/auto/decisions/tst_viewlag.cpp
@@ -14,9 +14,9 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(lag_of_the_view)
+BOOST_AUTO_TEST_SUITE(viewlag)
 
-BOOST_AUTO_TEST_CASE(a_view_is_as_old_as_the_last_word_that_nothing_is_missing)
+BOOST_AUTO_TEST_CASE(age_counts_from_the_last_report_that_nothing_is_missing)
 {
     view_lag lag;
     BOOST_TEST((lag.age(at(5s)) == 0s));
@@ -28,8 +28,9 @@
     BOOST_TEST((lag.age(at(500ms)) == 100ms));
 }
 
-// A change each half second, each told four times a second, and an answer that brings some of them: the lag
-// is that of the first one that is still missing, not of the first or the last that ever was.
+// A change every half second, each reported four times a second, and answers that bring some of them: the
+// lag is that of the first change that is still missing, not of the first or the last change that was ever
+// missing.
 BOOST_AUTO_TEST_CASE(the_first_missing_change_counts)
 {
     view_lag lag;
@@ -48,9 +49,9 @@
     BOOST_TEST((lag.behindFor(at(4s)) == 0s));
 }
 
-// Guards against a fleet that serves nothing for an outage of the store: who told of more has gone, and
-// nobody in touch knows better.
-BOOST_AUTO_TEST_CASE(what_nobody_tells_any_more_does_not_count)
+// Guards against a fleet that serves nothing during an outage of the store: the source that reported a
+// newer change is gone, and no reachable node has it.
+BOOST_AUTO_TEST_CASE(a_change_that_is_no_longer_reported_does_not_count)
 {
     view_lag lag;
     lag.advance(10);
@@ -64,9 +65,9 @@
     BOOST_TEST((lag.behindFor(at(6s)) == 6s));
 }
 
-// Nothing is taken for minutes while changes are told all the time: memory is bounded, and the lag is never
-// told too small.
-BOOST_AUTO_TEST_CASE(many_missing_changes_are_remembered_in_bounds)
+// No change is applied for minutes while changes are reported all the time: memory is bounded, and the lag
+// is never underestimated.
+BOOST_AUTO_TEST_CASE(tracked_revisions_are_bounded)
 {
     view_lag lag;
     constexpr std::uint64_t changes = 10 * view_lag::maxTrackedRevisions;
