--- a/src/libs/decisions/fairqueue.h
+++ b/src/libs/decisions/fairqueue.h
@@ -76,7 +76,7 @@
     /// Removes and returns the entries for which `isRevoked` holds: their approval is withdrawn, they must
     /// not run.
     std::vector<queue_entry> removeIf(const std::function<bool(const queue_entry&)>& isRevoked);
-    /// Latest time at which expire has entries to return; time_point::max() when nothing is queued.
+    /// Time by which expire must be called; time_point::max() when nothing is queued.
     utils::time_point nextExpiry() const;
 
     /// Sets the number of slots, which changes as servers join and leave. Running entries are not affected.
--- a/src/libs/decisions/followrule.h
+++ b/src/libs/decisions/followrule.h
@@ -16,7 +16,7 @@
 };
 
 /// A follower that was not heard for this time does not count. Heartbeats come four times a second, and
-/// about one in some hundred is lost. The time is short enough that a node cut off from all others reads a
+/// about one in a few hundred is lost. The time is short enough that a node cut off from all others reads a
 /// new configuration itself within the two seconds in which it must be in force.
 inline constexpr utils::duration followerTimeout = std::chrono::milliseconds(700);
 /// Number of nodes that follow the store in a fleet without faults. In fleets up to this size, all nodes
@@ -30,7 +30,7 @@
 ///
 /// Load: a fleet of many nodes, each with a watch on a store whose call rates grow more slowly than the
 /// fleet. Each change of one backend server wakes all watches: 80 nodes made 15,000 calls in a minute,
-/// where a few followers and their heartbeats need some hundreds.
+/// where a few followers and their heartbeats need a few hundred.
 /// The first `targetFollowers` nodes, in an order that all nodes agree on, follow the store. A node that
 /// does not hear them follows it as well, so that a network partition costs additional calls and does not
 /// make views stale. Thread safe.
--- a/src/libs/decisions/loadshedding.h
+++ b/src/libs/decisions/loadshedding.h
@@ -22,7 +22,7 @@
     std::uint64_t hash = 0; ///< of the request
 };
 
-/// Refuses requests at once that would wait too long for a slot at a backend server.
+/// Refuses requests at once if they would wait too long for a slot at a backend server.
 ///
 /// Load: more work than the servers can do, temporarily or permanently. Without a limit, all requests wait
 /// until most miss their targets, retries of abandoned requests add to the load, and the most urgent
--- a/src/libs/decisions/poisonregister.h
+++ b/src/libs/decisions/poisonregister.h
@@ -52,7 +52,8 @@
 
 /// Settings of the poison register.
 struct poison_limits {
-    /// Refused from this crash on: the first one makes suspects, the second one convicts.
+    /// Number of crashes from which a request is refused: the first one makes suspects, the second one
+    /// convicts.
     unsigned crashes = 2;
     /// Refused from this many crashes on, even if the request was never alone; 0: never. For fleets whose
     /// engines always run many requests, where no suspect is ever alone: this many crashes without a
@@ -72,9 +73,9 @@
 /// this one caller takes down the pool engine by engine, and every chat in flight there is cut.
 /// A crash makes every request in flight a suspect. Suspects run alone, so a second crash convicts exactly
 /// one request; an innocent suspect that runs to its end is cleared. At most two engines are lost to a
-/// poison request (three when two nodes run it before either has heard of the other's crash). A request is
-/// refused only if it crashed an engine alone, so an innocent request is never refused because of another
-/// one in flight.
+/// poison request (three when two nodes run it before either has heard of the other's crash). Unless
+/// sharedCrashes is set, a request is refused only if it crashed an engine alone, so an innocent request is
+/// never refused because of another one in flight.
 /// When several servers fail at once (rack, data centre), a digest with a single strike is not a suspect:
 /// otherwise hundreds of innocent requests would queue for the few slots for suspects.
 /// Strikes are merged by union, with the shorter lifetime. The merge is commutative and idempotent, and
@@ -117,8 +118,8 @@
     struct strike_state {
         bool wasAlone = false;
         bool isCleared = false;
-        utils::time_point
-            expiresAt; ///< kept for one more lifetime after this, so that no peer brings it back
+        /// Kept for one more lifetime after this, so that no peer brings it back.
+        utils::time_point expiresAt;
     };
     void add(const strike_key& key, const strike_state& strike);
     void dropOldest();
--- a/src/libs/decisions/retrybudget.h
+++ b/src/libs/decisions/retrybudget.h
@@ -8,7 +8,7 @@
 
 /// Settings of a retry budget.
 struct retry_budget_limits {
-    /// Retries per success: in a full outage the load grows by 10%, not by the number of attempts.
+    /// Retries per success: in a full outage the load grows by 10%, not with each attempt.
     double share = 0.1;
     double floorPerSecond = 0.5; ///< lets a nearly idle node retry
     double capacity = 10; ///< most retries in a row from saved tokens
