--- a/src/libs/decisions/cachemoves.cpp
+++ b/src/libs/decisions/cachetransfer.cpp
@@ -1,13 +1,13 @@
-#include "cachemoves.h"
+#include "cachetransfer.h"
 
 #include <algorithm>
 
 namespace decisions {
 
-std::vector<prefix_move> planExports(std::span<const hot_prefix> prefixes,
+std::vector<prefix_export> planExports(std::span<const hot_prefix> prefixes,
     std::span<const placement_server> servers, const export_budget& budget)
 {
-    std::vector<prefix_move> moves;
+    std::vector<prefix_export> moves;
     if (budget.tokensPerSecond <= budget.prefillTokensPerSecond)
         return moves;
     std::vector<hot_prefix> byWorth(prefixes.begin(), prefixes.end());
@@ -27,20 +27,21 @@
     return moves;
 }
 
-cache_choice chooseCache(const cache_costs& costs, const export_budget& rates)
+cache_action chooseCacheAction(const cache_costs& costs, const export_budget& rates)
 {
     const auto recompute = utils::fromSeconds(costs.prefixTokens / rates.prefillTokensPerSecond);
     const auto import = utils::fromSeconds(costs.prefixTokens / rates.tokensPerSecond);
     const auto elsewhere = costs.canImport ? std::min(import, recompute) : recompute;
     if (costs.expectedWait <= costs.maxWait && costs.expectedWait <= elsewhere)
-        return cache_choice::Wait;
-    return costs.canImport && import <= recompute ? cache_choice::Import : cache_choice::Recompute;
+        return cache_action::Wait;
+    return costs.canImport && import <= recompute ? cache_action::Import : cache_action::Recompute;
 }
 
-utils::duration patienceFor(
-    std::uint32_t prefixTokens, utils::duration maxWait, const export_budget& rates, double waitWorth)
+utils::duration maxCacheWait(std::uint32_t prefixTokens, utils::duration maxWait, const export_budget& rates,
+    double waitPerPrefillSecond)
 {
-    return std::min(maxWait, utils::fromSeconds(waitWorth * prefixTokens / rates.prefillTokensPerSecond));
+    return std::min(
+        maxWait, utils::fromSeconds(waitPerPrefillSecond * prefixTokens / rates.prefillTokensPerSecond));
 }
 
 } // namespace decisions
--- a/src/libs/decisions/cachemoves.h
+++ b/src/libs/decisions/cachetransfer.h
@@ -18,7 +18,7 @@
 };
 
 /// One prefix to export, and the server to import it.
-struct prefix_move {
+struct prefix_export {
     std::uint64_t chat = 0;
     utils::server_id to;
     std::uint32_t tokens = 0;
@@ -36,17 +36,17 @@
 /// an hour for each token moved is usesPerHour, so it orders by that. Nothing is moved when computing anew is
 /// faster. Answers a rolling replacement: without it each replaced server's chats are all cold at once.
 /// `servers`: the pool; the leaving one is marked so. Thread safe.
-std::vector<prefix_move> planExports(std::span<const hot_prefix> prefixes,
+std::vector<prefix_export> planExports(std::span<const hot_prefix> prefixes,
     std::span<const placement_server> servers, const export_budget& budget);
 
 /// How to serve a returning chat whose prefix lies on a server above its bound.
-enum class cache_choice {
+enum class cache_action {
     Wait, ///< at the server that holds the prefix: a slot comes sooner than the prefix could be had elsewhere
     Import, ///< the server that admits it imports the prefix
     Recompute ///< the server that admits it computes the prefix anew
 };
 
-/// What cache_choice weighs. Durations for this request.
+/// What cache_action weighs. Durations for this request.
 struct cache_costs {
     std::uint32_t prefixTokens = 0;
     utils::duration expectedWait = {}; ///< until the holder is under its bound
@@ -55,13 +55,14 @@
 };
 
 /// The cheapest of the three, ties towards the earlier one. Thread safe.
-cache_choice chooseCache(const cache_costs& costs, const export_budget& rates);
+cache_action chooseCacheAction(const cache_costs& costs, const export_budget& rates);
 
 /// How long a request waits at the server that holds its prefix before it goes elsewhere: as long as
-/// computing the prefix anew would take, times `waitWorth`, at most `maxWait`. `waitWorth`: seconds of
-/// waiting that a second of prefill is worth; 1 where a person waits, more for drafts, whose waiting costs
-/// nobody anything while the prefill costs the other requests on that server. Thread safe.
-utils::duration patienceFor(
-    std::uint32_t prefixTokens, utils::duration maxWait, const export_budget& rates, double waitWorth = 1);
+/// computing the prefix anew would take, times `waitPerPrefillSecond`, at most `maxWait`.
+/// `waitPerPrefillSecond`: seconds of waiting that a second of prefill is worth; 1 where a person waits, more
+/// for drafts, whose waiting costs nobody anything while the prefill costs the other requests on that server.
+/// Thread safe.
+utils::duration maxCacheWait(std::uint32_t prefixTokens, utils::duration maxWait, const export_budget& rates,
+    double waitPerPrefillSecond = 1);
 
 } // namespace decisions
--- a/src/libs/decisions/candidatewalk.cpp
+++ b/src/libs/decisions/candidatewalk.cpp
@@ -39,15 +39,15 @@
         return;
     }
     const auto* asked = std::get_if<ask_home>(&m_next);
-    const bool isLookup = std::holds_alternative<ask_memory>(m_next)
+    const bool isLookup = std::holds_alternative<ask_former_anchor>(m_next)
         || (asked && asked->onlyIfRemembered && !answer.remembered);
     const bool isRedirect = answer.remembered && answer.remembered->server != *m_asked;
     if (!isLookup && !isRedirect)
-        noteRefusal(answer);
+        recordRefusal(answer);
     advance();
 }
 
-void candidate_walk::noteRefusal(const home_answer& answer)
+void candidate_walk::recordRefusal(const home_answer& answer)
 {
     m_tried.insert(*m_asked);
     if (answer.verdict == admit_verdict::NotHolding)
@@ -66,7 +66,7 @@
     }
     if (m_formerAnchor && !m_remembered) {
         m_asked = std::exchange(m_formerAnchor, std::nullopt);
-        m_next = ask_memory { *m_asked };
+        m_next = ask_former_anchor { *m_asked };
         return;
     }
     m_asked = m_tried.size() <= m_settings.maxCandidates ? nextRanked() : std::nullopt;
@@ -79,7 +79,7 @@
         return;
     }
     m_asked = m_leastLoaded->server;
-    m_next = wait_at { *m_asked, m_remembered && m_remembered->server == *m_asked };
+    m_next = queue_at { *m_asked, m_remembered && m_remembered->server == *m_asked };
 }
 
 bool candidate_walk::isRanked(const utils::server_id& server) const
--- a/src/libs/decisions/candidatewalk.h
+++ b/src/libs/decisions/candidatewalk.h
@@ -1,7 +1,7 @@
 #pragma once
 
 #include "homeledger.h"
-#include "spillmemory.h"
+#include "spilltable.h"
 
 #include "utils/ids.h"
 
@@ -18,19 +18,19 @@
 struct ask_home {
     utils::server_id server;
     bool holdsCache = false; ///< the server holds the chat's prefix: the whole c applies
-    std::uint32_t prefixTokens = 0; ///< of that prefix; the home may hold the request back by patienceFor it
-    bool isAnchor = false; ///< the home looks the chat up in its spill_memory first
+    std::uint32_t prefixTokens = 0; ///< of that prefix; the home may hold the request back by maxCacheWait it
+    bool isAnchor = false; ///< the home looks the chat up in its spill_table first
     bool onlyIfRemembered = false; ///< an unknown chat is not admitted yet: its former anchor is asked first
 };
 
-/// Asks the home of a server that was the chat's anchor before a server joined or left: its spill_memory may
+/// Asks the home of a server that was the chat's anchor before a server joined or left: its spill_table may
 /// still know the chat. Admits nothing; answered by a home_answer with or without `remembered`.
-struct ask_memory {
+struct ask_former_anchor {
     utils::server_id server;
 };
 
 /// No candidate has room: let the home of `server` queue the request until it has, or until its deadline.
-struct wait_at {
+struct queue_at {
     utils::server_id server;
     bool holdsCache = false;
 };
@@ -38,7 +38,7 @@
 /// Every server is out: nothing to ask.
 struct no_candidate { };
 
-using walk_step = std::variant<ask_home, ask_memory, wait_at, no_candidate>;
+using walk_step = std::variant<ask_home, ask_former_anchor, queue_at, no_candidate>;
 
 /// What a home answers to ask_home.
 struct home_answer {
@@ -69,14 +69,14 @@
 
     /// The next thing to do. Repeats itself until onAnswer.
     walk_step next() const;
-    /// Answer of the home last asked; a home that does not answer counts as NotHolding. After wait_at the
+    /// Answer of the home last asked; a home that does not answer counts as NotHolding. After queue_at the
     /// answer is that of the queue.
     void onAnswer(const home_answer& answer);
     /// Whether a home admitted the request.
     bool isAdmitted() const { return m_isAdmitted; }
     /// The server last asked.
     const std::optional<utils::server_id>& asked() const { return m_asked; }
-    /// The server whose home has to learn where the chat went (spill_memory::remember), once admitted.
+    /// The server whose home has to learn where the chat went (spill_table::remember), once admitted.
     const std::optional<utils::server_id>& anchor() const { return m_anchor; }
     /// Homes asked so far.
     std::size_t asks() const { return m_asks; }
@@ -87,7 +87,7 @@
         double loadPerSlot;
     };
 
-    void noteRefusal(const home_answer& answer);
+    void recordRefusal(const home_answer& answer);
     void advance();
     bool isRanked(const utils::server_id& server) const;
     std::optional<utils::server_id> nextRanked() const;
--- a/src/libs/decisions/homeledger.cpp
+++ b/src/libs/decisions/homeledger.cpp
@@ -126,7 +126,7 @@
         found->second.deadSince.reset();
 }
 
-void home_ledger::noteHolder(const utils::node_id& node, bool outranksSelf)
+void home_ledger::onHolderAnnounced(const utils::node_id& node, bool outranksSelf)
 {
     if (node == m_self)
         return;
@@ -138,12 +138,12 @@
     }
 }
 
-void home_ledger::onRemaining(unsigned inFlight)
+void home_ledger::onRemainingInFlight(unsigned inFlight)
 {
     m_inherited = std::min(m_inherited, inFlight);
 }
 
-void home_ledger::loseCurrency()
+void home_ledger::onViewStale()
 {
     // A holder that went on after a pause would be a second one: its successor has waited out T by now.
     if (m_state == home_state::Holding) {
@@ -167,7 +167,7 @@
     if (report.sampledAt > m_heldSince)
         m_inherited = std::min(m_inherited, foreign);
     const bool isSettled = now - m_heldSince > m_settings.settleFor;
-    m_foreign = isSettled && foreign <= m_settings.reportTolerance ? 0 : foreign;
+    m_unattributed = isSettled && foreign <= m_settings.reportTolerance ? 0 : foreign;
 }
 
 void home_ledger::setCapacity(unsigned slots, double rampUp)
@@ -209,8 +209,8 @@
 
 unsigned home_ledger::load(utils::time_point now) const
 {
-    const bool isReported = now - m_reportedAt <= m_settings.reportLife;
-    return ownInFlight() + std::max(m_inherited, isReported ? m_foreign : 0);
+    const bool isReported = now - m_reportedAt <= m_settings.reportLifetime;
+    return ownInFlight() + std::max(m_inherited, isReported ? m_unattributed : 0);
 }
 
 void home_ledger::resolve(utils::time_point now)
@@ -222,7 +222,7 @@
         return entry.second.isResolved || (deadSince && now - *deadSince > m_settings.deadAfter);
     });
     const bool isReported = m_reportedAt >= m_claimedAt;
-    const bool isSilent = now - m_claimedAt > m_settings.deadAfter + m_settings.reportLife;
+    const bool isSilent = now - m_claimedAt > m_settings.deadAfter + m_settings.reportLifetime;
     if (mayHold && (isReported || isSilent))
         hold(now);
 }
--- a/src/libs/decisions/homeledger.h
+++ b/src/libs/decisions/homeledger.h
@@ -67,7 +67,7 @@
     /// more.
     utils::duration settleFor = std::chrono::seconds(5);
     /// Reports without a successor for so long say nothing any more.
-    utils::duration reportLife = std::chrono::seconds(10);
+    utils::duration reportLifetime = std::chrono::seconds(10);
     /// Requests by which report and count differ for no other reason than bytes on their way.
     unsigned reportTolerance = 2;
 };
@@ -107,13 +107,14 @@
     void onNodeAlive(const utils::node_id& node);
     /// A digest names `node` as holder of the server. Finds holders that rank too low to be among the
     /// predecessors, and ends two holders that a mass replacement of VMs could leave.
-    void noteHolder(const utils::node_id& node, bool outranksSelf);
+    void onHolderAnnounced(const utils::node_id& node, bool outranksSelf);
     /// The old home tells how many of its requests are still in flight.
-    void onRemaining(unsigned inFlight);
+    void onRemainingInFlight(unsigned inFlight);
     /// The node lost its currency for longer than T: another may hold the server now, so it claims again.
-    void loseCurrency();
+    void onViewStale();
     /// The server's own report; also while awaiting: a claimant that no holder answers takes over what it
-    /// shows, and does not dispatch before it has one (unless the server has not reported for reportLife).
+    /// shows, and does not dispatch before it has one (unless the server has not reported for
+    /// reportLifetime).
     void onServerReport(const server_report& report, utils::time_point now);
     /// The document changed the server's slots, or its ramp-up moved on (rampUpWeight).
     void setCapacity(unsigned slots, double rampUp);
@@ -166,7 +167,7 @@
     std::unordered_set<std::uint64_t> m_tickets;
     std::deque<count_sample> m_history;
     unsigned m_inherited = 0; ///< of the old home, still in flight
-    unsigned m_foreign = 0; ///< on the server by its report, but dispatched by nobody known
+    unsigned m_unattributed = 0; ///< on the server by its report, but dispatched by nobody known
     utils::time_point m_reportedAt;
 };
 
--- a/src/libs/decisions/loadview.cpp
+++ b/src/libs/decisions/loadview.cpp
@@ -52,7 +52,7 @@
 {
     load_sums living;
     for (const auto& entry : m_entries) {
-        if (now - entry.countedAt <= entryLife)
+        if (now - entry.countedAt <= entryLifetime)
             living.add(entry);
     }
     const double slots = std::max(living.slots, m_poolSlots);
--- a/src/libs/decisions/loadview.h
+++ b/src/libs/decisions/loadview.h
@@ -38,7 +38,7 @@
     /// idle: a node that has heard of few would else compare its own servers with themselves and know no
     /// bound.
     void setPoolSlots(double slots) { m_poolSlots = slots; }
-    /// The pool's mean load; entries older than `entryLife` no longer count.
+    /// The pool's mean load; entries older than `entryLifetime` no longer count.
     mean_load mean(utils::time_point now) const;
     /// As mean, with the lowest mean of the last `lowestWindow` filled in. Call it at each decision.
     mean_load observe(utils::time_point now);
@@ -49,7 +49,7 @@
     std::size_t size() const { return m_entries.size(); }
 
     /// A server not heard of for so long has no home or is gone: its load says nothing.
-    static constexpr utils::duration entryLife = std::chrono::seconds(30);
+    static constexpr utils::duration entryLifetime = std::chrono::seconds(30);
     /// About the time that a request takes: what a burst let in is gone by then.
     static constexpr utils::duration lowestWindow = std::chrono::seconds(10);
 
--- a/src/libs/decisions/prefixmemory.cpp
+++ b/src/libs/decisions/prefixindex.cpp
@@ -1,10 +1,10 @@
-#include "prefixmemory.h"
+#include "prefixindex.h"
 
 namespace decisions {
 
-void prefix_memory::touch(std::span<const shared_part> parts)
+void prefix_index::touch(std::span<const prompt_part> parts)
 {
-    for (const shared_part& part : parts) {
+    for (const prompt_part& part : parts) {
         const auto found = m_places.find(part.id);
         if (found != m_places.end()) {
             m_order.splice(m_order.begin(), m_order, found->second);
@@ -21,9 +21,9 @@
     }
 }
 
-void prefix_memory::forget(std::span<const shared_part> parts)
+void prefix_index::forget(std::span<const prompt_part> parts)
 {
-    for (const shared_part& part : parts) {
+    for (const prompt_part& part : parts) {
         const auto found = m_places.find(part.id);
         if (found == m_places.end())
             continue;
@@ -33,10 +33,10 @@
     }
 }
 
-std::uint32_t prefix_memory::heldTokens(std::span<const shared_part> parts) const
+std::uint32_t prefix_index::heldTokens(std::span<const prompt_part> parts) const
 {
     std::uint32_t held = 0;
-    for (const shared_part& part : parts) {
+    for (const prompt_part& part : parts) {
         if (!m_places.contains(part.id))
             break;
         held += part.tokens;
--- a/src/libs/decisions/prefixmemory.h
+++ b/src/libs/decisions/prefixindex.h
@@ -11,7 +11,7 @@
 namespace decisions {
 
 /// A part of a prompt that requests may share.
-struct shared_part {
+struct prompt_part {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
 
@@ -20,20 +20,20 @@
 
 /// Which parts of prompts an engine is thought to hold, from what this node has sent there. The parts least
 /// recently used go first, as in the engine. Not thread safe.
-class prefix_memory {
+class prefix_index {
 public:
     /// `capacity` in tokens: what the engine keeps of parts.
-    explicit prefix_memory(std::uint64_t capacity)
+    explicit prefix_index(std::uint64_t capacity)
         : m_capacity(capacity)
     {
     }
 
     /// A request with these parts was sent there.
-    void touch(std::span<const shared_part> parts);
+    void touch(std::span<const prompt_part> parts);
     /// The engine has not read these parts after all.
-    void forget(std::span<const shared_part> parts);
+    void forget(std::span<const prompt_part> parts);
     /// Tokens that the engine need not read: of the leading parts that it holds.
-    std::uint32_t heldTokens(std::span<const shared_part> parts) const;
+    std::uint32_t heldTokens(std::span<const prompt_part> parts) const;
 
 private:
     struct held_part {
--- a/src/libs/decisions/recentfailures.cpp
+++ b/src/libs/decisions/recentfailures.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr double forgotten = 0.01; // of a failure: thirteen seconds after one
-constexpr double leastTold = 0.5; // of a failure: what routes fail by themselves adds up to less
+constexpr double minSharedFailures = 0.5; // of a failure: what routes fail by themselves adds up to less
 
 } // namespace
 
-void recent_failures::ended(
+void recent_failures::recordOutcome(
     const std::string& route, const utils::server_id& server, bool isFailure, utils::time_point now)
 {
     const double expected = updateBaseline(route, isFailure);
@@ -21,7 +21,7 @@
         return;
     const double failures = (isFailure ? 1.0 : 0.0) - expected;
     add(server, failures, now);
-    m_untold[server] += failures;
+    m_unsent[server] += failures;
 }
 
 double recent_failures::updateBaseline(const std::string& route, bool isFailure)
@@ -32,33 +32,34 @@
     return before;
 }
 
-void recent_failures::learned(const failure_note& note, utils::time_point now)
+void recent_failures::applyUpdate(const failure_update& update, utils::time_point now)
 {
-    if (std::isfinite(note.failures))
-        add(note.server, note.failures, now);
+    if (std::isfinite(update.failures))
+        add(update.server, update.failures, now);
 }
 
-double recent_failures::at(const utils::server_id& server, utils::time_point now) const
+double recent_failures::countAt(const utils::server_id& server, utils::time_point now) const
 {
     const auto found = m_counts.find(server);
     return found == m_counts.end() ? 0 : valueAt(found->second, now);
 }
 
-std::vector<failure_note> recent_failures::takeNotes()
+std::vector<failure_update> recent_failures::takeUpdates()
 {
-    std::vector<failure_note> notes;
-    for (const auto& [server, failures] : m_untold) {
-        if (failures >= leastTold)
-            notes.push_back({ server, static_cast<float>(failures) });
+    std::vector<failure_update> updates;
+    for (const auto& [server, failures] : m_unsent) {
+        if (failures >= minSharedFailures)
+            updates.push_back({ server, static_cast<float>(failures) });
     }
-    std::erase_if(m_untold, [](const auto& entry) { return entry.second >= leastTold || entry.second <= 0; });
-    return notes;
+    std::erase_if(
+        m_unsent, [](const auto& entry) { return entry.second >= minSharedFailures || entry.second <= 0; });
+    return updates;
 }
 
 void recent_failures::expire(utils::time_point now)
 {
     std::erase_if(m_counts, [&](const auto& entry) { return valueAt(entry.second, now) < forgotten; });
-    std::erase_if(m_untold, [&](const auto& entry) { return !m_counts.contains(entry.first); });
+    std::erase_if(m_unsent, [&](const auto& entry) { return !m_counts.contains(entry.first); });
 }
 
 double recent_failures::valueAt(const decayed_count& count, utils::time_point now)
--- a/src/libs/decisions/recentfailures.h
+++ b/src/libs/decisions/recentfailures.h
@@ -11,7 +11,7 @@
 namespace decisions {
 
 /// Failures at a backend server, to be told to other nodes.
-struct failure_note {
+struct failure_update {
     utils::server_id server;
     float failures = 0; ///< beyond what its routes' requests fail by themselves
 };
@@ -33,14 +33,14 @@
     static constexpr double baselineRequests = 50;
 
     /// A request of the route has ended at the server.
-    void ended(
+    void recordOutcome(
         const std::string& route, const utils::server_id& server, bool isFailure, utils::time_point now);
     /// Another node tells of failures there.
-    void learned(const failure_note& note, utils::time_point now);
+    void applyUpdate(const failure_update& update, utils::time_point now);
     /// Failures there, each counted by its age.
-    double at(const utils::server_id& server, utils::time_point now) const;
+    double countAt(const utils::server_id& server, utils::time_point now) const;
     /// What other nodes should learn, once.
-    std::vector<failure_note> takeNotes();
+    std::vector<failure_update> takeUpdates();
     /// Forgets servers without failures. Call now and then.
     void expire(utils::time_point now);
 
@@ -55,7 +55,7 @@
 
     std::unordered_map<utils::server_id, decayed_count> m_counts;
     std::map<std::string, double> m_baselines; ///< by route: share of its requests that fails anyway
-    std::map<utils::server_id, double> m_untold;
+    std::map<utils::server_id, double> m_unsent;
 };
 
 } // namespace decisions
--- a/src/libs/decisions/responsetimes.cpp
+++ b/src/libs/decisions/responsetimes.cpp
@@ -17,9 +17,9 @@
 
 } // namespace
 
-void response_times::began(std::uint32_t tokens, utils::duration took)
+void response_times::recordFirstByte(std::uint32_t tokens, utils::duration elapsed)
 {
-    const double seconds = utils::toSeconds(took);
+    const double seconds = utils::toSeconds(elapsed);
     const double read = tokens;
     m_deviation += gain * (std::abs(seconds - utils::toSeconds(forecast(tokens).expected())) - m_deviation);
     if (tokens >= leastTokens) {
@@ -36,23 +36,23 @@
         utils::fromSeconds(m_deviation) };
 }
 
-void response_times::ended(int urgency, utils::duration occupied)
+void response_times::recordOccupancy(int urgency, utils::duration occupied)
 {
     const double seconds = utils::toSeconds(occupied);
     m_occupancy += occupancyGain * (seconds - m_occupancy);
-    for (double& work : m_work)
+    for (double& work : m_slotSeconds)
         work *= workKept;
-    m_work[urgencyIndex(urgency)] += seconds;
+    m_slotSeconds[urgencyIndex(urgency)] += seconds;
 }
 
 utils::duration response_times::slotWait(unsigned requests, unsigned slots, int urgency) const
 {
-    const auto own = m_work.begin() + urgencyIndex(urgency);
-    const double moreUrgent = std::accumulate(m_work.begin(), own, 0.0);
+    const auto own = m_slotSeconds.begin() + urgencyIndex(urgency);
+    const double moreUrgent = std::accumulate(m_slotSeconds.begin(), own, 0.0);
     const unsigned usable = moreUrgent > 0 ? slots - slots / reservedPart : slots;
     if (requests < usable || slots == 0)
         return utils::duration::zero();
-    const double all = std::accumulate(own, m_work.end(), moreUrgent);
+    const double all = std::accumulate(own, m_slotSeconds.end(), moreUrgent);
     const double ahead = all > 0 ? (moreUrgent + *own) / all : 1;
     return utils::fromSeconds(ahead * (requests + 1 - usable) * m_occupancy / slots);
 }
--- a/src/libs/decisions/responsetimes.h
+++ b/src/libs/decisions/responsetimes.h
@@ -11,13 +11,13 @@
 
 /// When the first event or byte of an answer is expected, counted from the sending of its request.
 struct response_forecast {
-    utils::duration reading {}; ///< of the prompt tokens that the server reads before
+    utils::duration prefill {}; ///< of the prompt tokens that the server reads before
     utils::duration base {}; ///< everything else; of a plain service the work itself
     utils::duration deviation {}; ///< mean absolute error of past forecasts
 
-    utils::duration expected() const { return reading + base; }
+    utils::duration expected() const { return prefill + base; }
     /// Hardly any answer begins later: what takes longer is a sign of a fault.
-    utils::duration latest() const { return 2 * reading + base + 4 * deviation; }
+    utils::duration latest() const { return 2 * prefill + base + 4 * deviation; }
 };
 
 /// How fast the backend servers of one service answer, learned from the answers that pass by.
@@ -29,25 +29,25 @@
 class response_times {
 public:
     /// Until answers have come, an engine is taken to read so many tokens a second.
-    static constexpr double firstTokensPerSecond = 25000;
+    static constexpr double initialTokensPerSecond = 25000;
     /// Until answers have come, this long for all but reading, and as the deviation.
-    static constexpr utils::duration firstBase = std::chrono::milliseconds(20);
+    static constexpr utils::duration initialBase = std::chrono::milliseconds(20);
 
     /// Until answers have come, a request is taken to occupy a slot for so long.
-    static constexpr utils::duration firstOccupancy = std::chrono::milliseconds(100);
-    static constexpr utils::duration firstOccupancyOfStreams = std::chrono::seconds(1);
+    static constexpr utils::duration initialOccupancy = std::chrono::milliseconds(100);
+    static constexpr utils::duration initialStreamOccupancy = std::chrono::seconds(1);
 
-    explicit response_times(utils::duration occupancy = firstOccupancy)
+    explicit response_times(utils::duration occupancy = initialOccupancy)
         : m_occupancy(utils::toSeconds(occupancy))
     {
     }
 
-    /// An answer began after `took`, with `tokens` of prompts read before by the server as far as known.
+    /// An answer began after `elapsed`, with `tokens` of prompts read before by the server as far as known.
     /// Precondition: the request did not wait for a slot.
-    void began(std::uint32_t tokens, utils::duration took);
+    void recordFirstByte(std::uint32_t tokens, utils::duration elapsed);
 
     /// A request of that urgency has occupied a slot for so long.
-    void ended(int urgency, utils::duration occupied);
+    void recordOccupancy(int urgency, utils::duration occupied);
 
     /// With so many tokens to be read before the answer.
     response_forecast forecast(std::uint32_t tokens) const;
@@ -61,13 +61,13 @@
 private:
     // Weighted sums of a regression of time over tokens through the base. Older samples lose weight with
     // the tokens that later ones read, so short prompts do not wash out what long ones have told.
-    static constexpr double firstWeight = 3000; ///< tokens
-    double m_tokenSquares = firstWeight * firstWeight;
-    double m_tokenSeconds = firstWeight * firstWeight / firstTokensPerSecond;
-    double m_base = utils::toSeconds(firstBase);
-    double m_deviation = utils::toSeconds(firstBase);
+    static constexpr double initialWeightTokens = 3000; ///< tokens
+    double m_tokenSquares = initialWeightTokens * initialWeightTokens;
+    double m_tokenSeconds = initialWeightTokens * initialWeightTokens / initialTokensPerSecond;
+    double m_base = utils::toSeconds(initialBase);
+    double m_deviation = utils::toSeconds(initialBase);
     double m_occupancy;
-    std::array<double, urgencies> m_work {}; ///< slot time taken of late, by urgency
+    std::array<double, urgencies> m_slotSeconds {}; ///< slot time taken of late, by urgency
 };
 
 } // namespace decisions
--- a/src/libs/decisions/serverchoice.cpp
+++ b/src/libs/decisions/serverchoice.cpp
@@ -11,15 +11,15 @@
 namespace {
 
 /// The parts that other requests share: all but the last, which is the request's own.
-std::span<const shared_part> sharedOf(std::span<const shared_part> parts)
+std::span<const prompt_part> sharedOf(std::span<const prompt_part> parts)
 {
     return parts.empty() ? parts : parts.first(parts.size() - 1);
 }
 
-std::uint32_t tokensOf(std::span<const shared_part> parts)
+std::uint32_t tokensOf(std::span<const prompt_part> parts)
 {
     std::uint32_t tokens = 0;
-    for (const shared_part& part : parts)
+    for (const prompt_part& part : parts)
         tokens += part.tokens;
     return tokens;
 }
@@ -32,11 +32,11 @@
 }
 
 /// What speaks against an engine besides its work, as a part of the target.
-double distrustOf(const server_candidate& candidate)
+double penaltyOf(const server_candidate& candidate)
 {
-    const double failed = server_choice::distrustPerFailure * candidate.recentFailures;
-    const double unproven = server_choice::unprovenDistrust * (1 - candidate.weight);
-    return std::min(failed + unproven, server_choice::mostDistrust);
+    const double failed = server_choice::penaltyPerFailure * candidate.recentFailures;
+    const double unproven = server_choice::rampUpPenalty * (1 - candidate.weight);
+    return std::min(failed + unproven, server_choice::maxPenalty);
 }
 
 double tieBreak(const server_candidate& candidate, std::uint64_t salt)
@@ -66,7 +66,7 @@
         if (load.requests >= candidate.slots)
             cost += candidate.slots;
         if (candidate.dataCentre != query.dataCentre)
-            cost += crossingCost;
+            cost += crossDataCentreCost;
         cost += std::min<double>(failureCost * candidate.recentFailures, candidate.slots);
         cost += tieBreak(candidate, query.salt) * 0.5;
         if (!best || cost < best->cost)
@@ -86,7 +86,7 @@
         total += load.requests;
         if (candidate.weight > 0)
             views.push_back(
-                { &candidate, load, heldTokens(candidate, query.parts), distrustOf(candidate), false });
+                { &candidate, load, heldTokens(candidate, query.parts), penaltyOf(candidate), false });
     }
     if (!views.empty())
         boundEngines(views, total / static_cast<double>(candidates.size()));
@@ -98,20 +98,20 @@
     // The bound is the same for engines of little weight: with a lower one all engines can be above their
     // bounds, and then the few trusted ones got the rest.
     const double bound = boundFactor * mean + boundExtra;
-    const double crowded = crowdedFactor * mean + crowdedExtra;
-    const double most = std::ranges::max(views, {}, &engine_view::distrust).distrust;
+    const double highLoad = highLoadFactor * mean + highLoadExtra;
+    const double maxPenaltyOfAll = std::ranges::max(views, {}, &engine_view::penalty).penalty;
     for (engine_view& view : views) {
         const double load = view.load.requests + 1;
         view.isInBound = load <= bound;
-        if (load > crowded)
-            view.distrust = most;
+        if (load > highLoad)
+            view.penalty = maxPenaltyOfAll;
     }
 }
 
 const server_candidate* server_choice::presumedHolder(
     const std::vector<engine_view>& views, const placement_query& query)
 {
-    const std::span<const shared_part> shared = sharedOf(query.parts);
+    const std::span<const prompt_part> shared = sharedOf(query.parts);
     const std::uint64_t key = shared.empty() ? query.parts.back().id : shared.back().id;
     const std::uint32_t sharedTokens = tokensOf(shared);
     const server_candidate* first = nullptr;
@@ -134,13 +134,13 @@
 {
     const response_times& times = query.times;
     const unsigned slots = view.candidate->slots;
-    const double unread = std::max(0.0, query.promptTokens - heldTokens);
-    const double reading = (view.load.promptTokens + readingCost * unread) * times.secondsPerToken();
+    const double unheld = std::max(0.0, query.promptTokens - heldTokens);
+    const double prefill = (view.load.promptTokens + prefillCostFactor * unheld) * times.secondsPerToken();
     const double wait = utils::toSeconds(times.slotWait(view.load.requests, slots, query.urgency));
-    const double steps = fullEngineShare * times.occupancySeconds() * view.load.requests / slots;
-    const double distrust = view.distrust * utils::toSeconds(query.target);
+    const double steps = fullEngineSlowdown * times.occupancySeconds() * view.load.requests / slots;
+    const double penalty = view.penalty * utils::toSeconds(query.target);
     constexpr double tieSeconds = 1e-5; // orders equals only
-    return reading + wait + steps + distrust + tieSeconds * tieBreak(*view.candidate, query.salt);
+    return prefill + wait + steps + penalty + tieSeconds * tieBreak(*view.candidate, query.salt);
 }
 
 std::optional<placement> server_choice::chooseEngine(const std::vector<server_candidate>& candidates,
@@ -148,7 +148,7 @@
 {
     const std::vector<engine_view> views = viewEngines(candidates, query, loads, now);
     const server_candidate* presumed = presumedHolder(views, query);
-    const double presumedTokens = rankedHeldShare * tokensOf(sharedOf(query.parts));
+    const double presumedTokens = presumedHeldShare * tokensOf(sharedOf(query.parts));
     std::optional<placement> best;
     bool isBestInBound = false;
     for (const engine_view& view : views) {
@@ -166,9 +166,9 @@
 }
 
 std::optional<cache_source> server_choice::sourceFor(const server_candidate& chosen,
-    const std::vector<server_candidate>& holders, std::span<const shared_part> parts) const
+    const std::vector<server_candidate>& holders, std::span<const prompt_part> parts) const
 {
-    const std::span<const shared_part> shared = sharedOf(parts);
+    const std::span<const prompt_part> shared = sharedOf(parts);
     const std::uint32_t held = heldTokens(chosen, shared);
     std::optional<cache_source> best;
     for (const server_candidate& holder : holders) {
@@ -176,27 +176,27 @@
             continue;
         const std::uint32_t there = heldTokens(holder, shared);
         const std::uint32_t more = there - std::min(held, there);
-        if (more >= leastCopiedTokens && (!best || more > best->tokens))
+        if (more >= minCopyTokens && (!best || more > best->tokens))
             best = cache_source { holder.id, more };
     }
     return best;
 }
 
-void server_choice::sent(const server_candidate& server, std::span<const shared_part> parts)
+void server_choice::recordSent(const server_candidate& server, std::span<const prompt_part> parts)
 {
     if (server.cacheTokens == 0 || parts.empty())
         return;
-    prefix_memory& memory = memoryOf(server.id, server.bornAt, server.cacheTokens);
-    const std::span<const shared_part> shared = sharedOf(parts);
+    prefix_index& memory = prefixesOf(server.id, server.startedAtMs, server.cacheTokens);
+    const std::span<const prompt_part> shared = sharedOf(parts);
     const std::uint32_t sharedTokens = tokensOf(shared);
-    const bool isNews = sharedTokens >= leastNoteTokens && memory.heldTokens(shared) < sharedTokens;
+    const bool isNew = sharedTokens >= minUpdateTokens && memory.heldTokens(shared) < sharedTokens;
     memory.touch(parts);
-    if (isNews)
-        addNote(server, shared, false);
+    if (isNew)
+        addUpdate(server, shared, false);
 }
 
-void server_choice::withdrawn(
-    const server_candidate& server, std::span<const shared_part> parts, std::uint32_t heldTokens)
+void server_choice::recordWithdrawn(
+    const server_candidate& server, std::span<const prompt_part> parts, std::uint32_t heldTokens)
 {
     if (server.cacheTokens == 0)
         return;
@@ -205,49 +205,51 @@
         before += parts.front().tokens;
         parts = parts.subspan(1);
     }
-    memoryOf(server.id, server.bornAt, server.cacheTokens).forget(parts);
-    const std::span<const shared_part> shared = sharedOf(parts);
-    if (tokensOf(shared) >= leastNoteTokens)
-        addNote(server, shared, true);
+    prefixesOf(server.id, server.startedAtMs, server.cacheTokens).forget(parts);
+    const std::span<const prompt_part> shared = sharedOf(parts);
+    if (tokensOf(shared) >= minUpdateTokens)
+        addUpdate(server, shared, true);
 }
 
-void server_choice::addNote(
-    const server_candidate& server, std::span<const shared_part> parts, bool isWithdrawn)
+void server_choice::addUpdate(
+    const server_candidate& server, std::span<const prompt_part> parts, bool isWithdrawn)
 {
-    if (m_notes.size() < maxNotes)
-        m_notes.push_back({ server.id.str(), server.bornAt, { parts.begin(), parts.end() }, isWithdrawn });
+    if (m_updates.size() < maxUpdates)
+        m_updates.push_back(
+            { server.id.str(), server.startedAtMs, { parts.begin(), parts.end() }, isWithdrawn });
 }
 
-void server_choice::learned(const placement_note& note, std::uint64_t cacheTokens)
+void server_choice::applyUpdate(const placement_update& update, std::uint64_t cacheTokens)
 {
     if (cacheTokens == 0)
         return;
-    prefix_memory& memory = memoryOf(utils::server_id(note.server), note.bornAt, cacheTokens);
-    if (note.isWithdrawn)
-        memory.forget(note.parts);
+    prefix_index& memory = prefixesOf(utils::server_id(update.server), update.startedAtMs, cacheTokens);
+    if (update.isWithdrawn)
+        memory.forget(update.parts);
     else
-        memory.touch(note.parts);
+        memory.touch(update.parts);
 }
 
-std::vector<placement_note> server_choice::takeNotes()
+std::vector<placement_update> server_choice::takeUpdates()
 {
-    return std::exchange(m_notes, {});
+    return std::exchange(m_updates, {});
 }
 
-prefix_memory& server_choice::memoryOf(
-    const utils::server_id& server, std::uint64_t bornAt, std::uint64_t cacheTokens)
+prefix_index& server_choice::prefixesOf(
+    const utils::server_id& server, std::uint64_t startedAtMs, std::uint64_t cacheTokens)
 {
-    auto found = m_memories.try_emplace(server, server_memory { bornAt, prefix_memory(cacheTokens) }).first;
-    if (found->second.bornAt != bornAt)
-        found->second = { bornAt, prefix_memory(cacheTokens) };
+    auto found
+        = m_prefixes.try_emplace(server, server_prefixes { startedAtMs, prefix_index(cacheTokens) }).first;
+    if (found->second.startedAtMs != startedAtMs)
+        found->second = { startedAtMs, prefix_index(cacheTokens) };
     return found->second.parts;
 }
 
 std::uint32_t server_choice::heldTokens(
-    const server_candidate& server, std::span<const shared_part> parts) const
+    const server_candidate& server, std::span<const prompt_part> parts) const
 {
-    const auto memory = m_memories.find(server.id);
-    if (memory == m_memories.end() || memory->second.bornAt != server.bornAt)
+    const auto memory = m_prefixes.find(server.id);
+    if (memory == m_prefixes.end() || memory->second.startedAtMs != server.startedAtMs)
         return 0;
     return memory->second.parts.heldTokens(parts);
 }
--- a/src/libs/decisions/serverchoice.h
+++ b/src/libs/decisions/serverchoice.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "prefixmemory.h"
+#include "prefixindex.h"
 #include "responsetimes.h"
 #include "serverload.h"
 
@@ -23,21 +23,21 @@
     unsigned slots = 1;
     double weight = 1; ///< part of its normal load that it should get, 0 to 1
     std::uint64_t cacheTokens = 0; ///< 0 for a plain service
-    std::uint64_t bornAt = 0; ///< tells two lives of a server apart: a new one holds nothing
+    std::uint64_t startedAtMs = 0; ///< tells two lives of a server apart: a new one holds nothing
     double recentFailures = 0; ///< requests that failed there in the last seconds, see recent_failures
 };
 
 /// Tells other nodes where shared parts of a prompt were sent.
-struct placement_note {
+struct placement_update {
     std::string server;
-    std::uint64_t bornAt = 0;
-    std::vector<shared_part> parts;
+    std::uint64_t startedAtMs = 0;
+    std::vector<prompt_part> parts;
     bool isWithdrawn = false; ///< they were not read there after all
 };
 
 /// What is to be placed.
 struct placement_query {
-    std::span<const shared_part> parts; ///< of the prompt, shared ones first; empty for a plain service
+    std::span<const prompt_part> parts; ///< of the prompt, shared ones first; empty for a plain service
     std::uint32_t promptTokens = 0;
     std::string dataCentre; ///< of this node
     std::uint64_t salt = 0; ///< orders equal candidates; differs from request to request
@@ -75,31 +75,31 @@
     static constexpr double boundExtra = 2.8;
     /// What a token to be read costs against one that waits to be read there: a short wait is within every
     /// target, while a part that is read twice takes the time of all that run there, and memory.
-    static constexpr double readingCost = 8;
+    static constexpr double prefillCostFactor = 8;
     /// What all requests of a full engine cost a new one, as a part of the time that it will take: each makes
     /// every step a little longer.
-    static constexpr double fullEngineShare = 0.03;
+    static constexpr double fullEngineSlowdown = 0.03;
     /// Part of the shared tokens that the first engine of their ranking is thought to hold where none is
     /// known to: nodes rank alike, so one that knows nothing finds what others have sent. Where a holder is
     /// known the ranking says nothing: engines that came later are first of some rankings and hold nothing.
-    static constexpr double rankedHeldShare = 0.8;
+    static constexpr double presumedHeldShare = 0.8;
     /// For a plain service: what a crossing between data centres costs, in parts of a running request. The
     /// bytes between data centres are paid for; a queue is worse.
-    static constexpr double crossingCost = 0.6;
+    static constexpr double crossDataCentreCost = 0.6;
     /// For a plain service: what a recent failure costs, in running requests. A running request costs little
     /// while there are slots, a failed one all that it is worth; at full slots the queue is worse.
     static constexpr double failureCost = 1.5;
-    /// What a recent failure of an engine costs, as a part of the target, up to `mostDistrust`.
-    static constexpr double distrustPerFailure = 0.03;
-    static constexpr double mostDistrust = 0.3;
+    /// What a recent failure of an engine costs, as a part of the target, up to `maxPenalty`.
+    static constexpr double penaltyPerFailure = 0.03;
+    static constexpr double maxPenalty = 0.3;
     /// Distrust of an engine of which hardly anything is known since it was left out, as a part of the
     /// target.
-    static constexpr double unprovenDistrust = 0.3;
-    /// Engines above this multiple of the mean load, plus `crowdedExtra`, are not preferred for the distrust
+    static constexpr double rampUpPenalty = 0.3;
+    /// Engines above this multiple of the mean load, plus `highLoadExtra`, are not preferred for the distrust
     /// of others: all nodes prefer the same few then, and each knows the loads of the others a quarter of a
     /// second late.
-    static constexpr double crowdedFactor = 1.2;
-    static constexpr double crowdedExtra = 1;
+    static constexpr double highLoadFactor = 1.2;
+    static constexpr double highLoadExtra = 1;
 
     /// Nothing when there is no candidate of a weight above zero.
     std::optional<placement> choose(const std::vector<server_candidate>& candidates,
@@ -107,24 +107,24 @@
     /// The holder from which the chosen engine should copy shared parts of the prompt that it lacks; nothing
     /// when none holds enough more. `holders` may include engines that take no requests any more.
     std::optional<cache_source> sourceFor(const server_candidate& chosen,
-        const std::vector<server_candidate>& holders, std::span<const shared_part> parts) const;
+        const std::vector<server_candidate>& holders, std::span<const prompt_part> parts) const;
     /// A request with these parts was sent there.
-    void sent(const server_candidate& server, std::span<const shared_part> parts);
+    void recordSent(const server_candidate& server, std::span<const prompt_part> parts);
     /// The request ended before its prompt was read; `heldTokens` of it were held before it was sent. What
     /// came after them is not held, and whoever reads it there next needs the time to do so.
-    void withdrawn(
-        const server_candidate& server, std::span<const shared_part> parts, std::uint32_t heldTokens);
+    void recordWithdrawn(
+        const server_candidate& server, std::span<const prompt_part> parts, std::uint32_t heldTokens);
     /// Another node has sent a request with these parts there, or withdraws it.
-    void learned(const placement_note& note, std::uint64_t cacheTokens);
+    void applyUpdate(const placement_update& update, std::uint64_t cacheTokens);
     /// What other nodes should learn, once; bounded.
-    std::vector<placement_note> takeNotes();
+    std::vector<placement_update> takeUpdates();
 
     /// Fewer tokens are read in about the time that it takes to begin a copy.
-    static constexpr std::uint32_t leastCopiedTokens = 500;
+    static constexpr std::uint32_t minCopyTokens = 500;
     /// Notes kept for the next beat: as many requests with shared parts as a busy node sends between two.
-    static constexpr std::size_t maxNotes = 24;
+    static constexpr std::size_t maxUpdates = 24;
     /// Shared parts below this are not told: reading them takes a few ms, telling them to all costs more.
-    static constexpr std::uint32_t leastNoteTokens = 200;
+    static constexpr std::uint32_t minUpdateTokens = 200;
 
 private:
     std::optional<placement> choosePlain(const std::vector<server_candidate>& candidates,
@@ -136,7 +136,7 @@
         const server_candidate* candidate = nullptr;
         load_total load;
         std::uint32_t heldTokens = 0; ///< of the prompt, as far as this node knows
-        double distrust = 0; ///< as a part of the target
+        double penalty = 0; ///< as a part of the target
         bool isInBound = false;
     };
     std::vector<engine_view> viewEngines(const std::vector<server_candidate>& candidates,
@@ -148,16 +148,17 @@
     /// Marks the engines above the bound, and evens the distrust of the crowded ones out.
     static void boundEngines(std::vector<engine_view>& views, double mean);
     static double costOf(const engine_view& view, const placement_query& query, double heldTokens);
-    std::uint32_t heldTokens(const server_candidate& server, std::span<const shared_part> parts) const;
-    void addNote(const server_candidate& server, std::span<const shared_part> parts, bool isWithdrawn);
-    prefix_memory& memoryOf(const utils::server_id& server, std::uint64_t bornAt, std::uint64_t cacheTokens);
+    std::uint32_t heldTokens(const server_candidate& server, std::span<const prompt_part> parts) const;
+    void addUpdate(const server_candidate& server, std::span<const prompt_part> parts, bool isWithdrawn);
+    prefix_index& prefixesOf(
+        const utils::server_id& server, std::uint64_t startedAtMs, std::uint64_t cacheTokens);
 
-    struct server_memory {
-        std::uint64_t bornAt = 0;
-        prefix_memory parts;
+    struct server_prefixes {
+        std::uint64_t startedAtMs = 0;
+        prefix_index parts;
     };
-    std::unordered_map<utils::server_id, server_memory> m_memories;
-    std::vector<placement_note> m_notes;
+    std::unordered_map<utils::server_id, server_prefixes> m_prefixes;
+    std::vector<placement_update> m_updates;
 };
 
 } // namespace decisions
--- a/src/libs/decisions/serverhealth.cpp
+++ b/src/libs/decisions/serverhealth.cpp
@@ -12,7 +12,7 @@
 void server_health::succeeded(const std::string& service, const utils::server_id& server,
     utils::duration latency, utils::time_point now)
 {
-    m_pauses.erase(server);
+    m_backoffs.erase(server);
     const auto ejector = m_ejectors.find(service);
     if (ejector != m_ejectors.end())
         ejector->second.succeeded(server, latency, now);
@@ -27,27 +27,27 @@
 
 void server_health::unreachable(const utils::server_id& server, utils::time_point now)
 {
-    pause_state& state = m_pauses[server];
+    backoff_state& state = m_backoffs[server];
     // Several attempts that failed together are one failure.
     if (now < state.until)
         return;
     state.until = now + state.next;
-    state.next = std::min(2 * state.next, maxPause);
+    state.next = std::min(2 * state.next, maxBackoff);
 }
 
 double server_health::weight(
     const std::string& service, const utils::server_id& server, utils::time_point now) const
 {
-    if (isPaused(server, now))
+    if (isInBackoff(server, now))
         return 0;
     const auto ejector = m_ejectors.find(service);
     return ejector == m_ejectors.end() ? 1 : ejector->second.weight(server, now);
 }
 
-bool server_health::isPaused(const utils::server_id& server, utils::time_point now) const
+bool server_health::isInBackoff(const utils::server_id& server, utils::time_point now) const
 {
-    const auto found = m_pauses.find(server);
-    return found != m_pauses.end() && now < found->second.until;
+    const auto found = m_backoffs.find(server);
+    return found != m_backoffs.end() && now < found->second.until;
 }
 
 } // namespace decisions
--- a/src/libs/decisions/serverhealth.h
+++ b/src/libs/decisions/serverhealth.h
@@ -16,10 +16,10 @@
 /// ejected with a floor, since the cause may be common. Not thread safe.
 class server_health {
 public:
-    /// First time that an unreachable server is left out; doubles up to `maxPause`. A crashed server is
+    /// First time that an unreachable server is left out; doubles up to `maxBackoff`. A crashed server is
     /// back after some seconds, one that is replaced never.
-    static constexpr utils::duration firstPause = std::chrono::milliseconds(400);
-    static constexpr utils::duration maxPause = std::chrono::milliseconds(3200);
+    static constexpr utils::duration initialBackoff = std::chrono::milliseconds(400);
+    static constexpr utils::duration maxBackoff = std::chrono::milliseconds(3200);
 
     explicit server_health(const outlier_limits& limits)
         : m_limits(limits)
@@ -36,17 +36,17 @@
     /// Share of its normal load that it should get, 0 to 1.
     double weight(const std::string& service, const utils::server_id& server, utils::time_point now) const;
     /// Whether it is left out because it could not be connected to.
-    bool isPaused(const utils::server_id& server, utils::time_point now) const;
+    bool isInBackoff(const utils::server_id& server, utils::time_point now) const;
 
 private:
-    struct pause_state {
+    struct backoff_state {
         utils::time_point until {};
-        utils::duration next = firstPause;
+        utils::duration next = initialBackoff;
     };
 
     outlier_limits m_limits;
     std::map<std::string, outlier_ejector> m_ejectors;
-    std::map<utils::server_id, pause_state> m_pauses;
+    std::map<utils::server_id, backoff_state> m_backoffs;
 };
 
 } // namespace decisions
--- a/src/libs/decisions/serverload.cpp
+++ b/src/libs/decisions/serverload.cpp
@@ -28,13 +28,13 @@
         m_own.erase(found);
 }
 
-void server_loads::told(
+void server_loads::recordReport(
     const utils::server_id& server, std::uint32_t running, std::uint32_t waiting, utils::time_point now)
 {
-    m_told[server] = { running + waiting, own(server).requests, now };
+    m_reports[server] = { running + waiting, own(server).requests, now };
 }
 
-void server_loads::toldByPeer(
+void server_loads::updatePeer(
     const utils::node_id& peer, const std::map<utils::server_id, load_share>& shares, utils::time_point now)
 {
     m_peers[peer] = { shares, now };
@@ -58,28 +58,28 @@
         sum.promptTokens += share->second.promptTokens;
         sum.age = std::max(sum.age, now - state.at);
     }
-    const auto told = m_told.find(server);
-    if (told != m_told.end() && now - told->second.at <= toldLifetime) {
+    const auto report = m_reports.find(server);
+    if (report != m_reports.end() && now - report->second.at <= reportLifetime) {
         // What the server told includes this node's share of that moment; only the rest is news.
         const std::uint32_t others
-            = told->second.requests - std::min(told->second.requests, told->second.ownThen);
+            = report->second.requests - std::min(report->second.requests, report->second.ownAtReport);
         if (others + ownPart.requests > sum.requests) {
             sum.requests = others + ownPart.requests;
-            sum.age = std::max(sum.age, now - told->second.at);
+            sum.age = std::max(sum.age, now - report->second.at);
         }
     }
     return sum;
 }
 
-std::uint32_t server_loads::mostOfPeers(const utils::server_id& server, utils::time_point now) const
+std::uint32_t server_loads::maxPeerPromptTokens(const utils::server_id& server, utils::time_point now) const
 {
-    std::uint32_t most = 0;
+    std::uint32_t maxTokens = 0;
     for (const auto& [peer, state] : m_peers) {
         const auto share = state.shares.find(server);
         if (share != state.shares.end() && now - state.at <= peerLifetime)
-            most = std::max(most, share->second.promptTokens);
+            maxTokens = std::max(maxTokens, share->second.promptTokens);
     }
-    return most;
+    return maxTokens;
 }
 
 std::map<utils::server_id, load_share> server_loads::ownShares() const
--- a/src/libs/decisions/serverload.h
+++ b/src/libs/decisions/serverload.h
@@ -35,7 +35,7 @@
     /// A share that a peer told is counted for so long: four of its beats, so that two may be lost.
     static constexpr utils::duration peerLifetime = std::chrono::milliseconds(1200);
     /// What a server told is believed for so long: then as much has come and gone as it told of.
-    static constexpr utils::duration toldLifetime = std::chrono::milliseconds(600);
+    static constexpr utils::duration reportLifetime = std::chrono::milliseconds(600);
 
     void started(const utils::server_id& server, std::uint32_t promptTokens);
     /// The answer has begun: the prompt is read.
@@ -43,10 +43,10 @@
     /// Precondition: as many started() came before, and answered() if the prompt was read.
     void finished(const utils::server_id& server);
     /// The server told that so many requests run and wait there.
-    void told(
+    void recordReport(
         const utils::server_id& server, std::uint32_t running, std::uint32_t waiting, utils::time_point now);
     /// A peer told its shares; they replace those that it told before.
-    void toldByPeer(const utils::node_id& peer, const std::map<utils::server_id, load_share>& shares,
+    void updatePeer(const utils::node_id& peer, const std::map<utils::server_id, load_share>& shares,
         utils::time_point now);
 
     /// This node's own part.
@@ -54,14 +54,14 @@
     /// All nodes' parts together; at least what the server told lately.
     load_total total(const utils::server_id& server, utils::time_point now) const;
     /// The most that one peer has there to be read: more than its longest prompt is not known of.
-    std::uint32_t mostOfPeers(const utils::server_id& server, utils::time_point now) const;
+    std::uint32_t maxPeerPromptTokens(const utils::server_id& server, utils::time_point now) const;
     /// This node's shares that are not zero, for its peers.
     std::map<utils::server_id, load_share> ownShares() const;
 
 private:
-    struct told_state {
+    struct report_state {
         std::uint32_t requests = 0;
-        std::uint32_t ownThen = 0; ///< of them this node's
+        std::uint32_t ownAtReport = 0; ///< of them this node's
         utils::time_point at {};
     };
     struct peer_state {
@@ -70,7 +70,7 @@
     };
 
     std::unordered_map<utils::server_id, load_share> m_own;
-    std::unordered_map<utils::server_id, told_state> m_told;
+    std::unordered_map<utils::server_id, report_state> m_reports;
     std::map<utils::node_id, peer_state> m_peers;
 };
 
--- a/src/libs/decisions/servicewindow.cpp
+++ b/src/libs/decisions/servicewindow.cpp
@@ -29,15 +29,15 @@
     if (now >= endsAt())
         return stop_phase::Done;
     const utils::duration since = now - m_stopAt;
-    if (since < m_limits.leaving)
+    if (since < m_limits.leavingPeriod)
         return stop_phase::Leaving;
-    const bool isIdle = requestsInProgress == 0 && since >= m_limits.leaving + crossing;
+    const bool isIdle = requestsInProgress == 0 && since >= m_limits.leavingPeriod + crossing;
     return isIdle ? stop_phase::Done : stop_phase::Closing;
 }
 
-bool service_window::mayTake(utils::duration timeout, utils::time_point now) const
+bool service_window::mayAccept(utils::duration timeout, utils::time_point now) const
 {
-    return !m_isStopping || now < m_stopAt + m_limits.leaving || now + timeout <= endsAt();
+    return !m_isStopping || now < m_stopAt + m_limits.leavingPeriod || now + timeout <= endsAt();
 }
 
 } // namespace decisions
--- a/src/libs/decisions/servicewindow.h
+++ b/src/libs/decisions/servicewindow.h
@@ -21,9 +21,9 @@
     /// Of the grace, for the process to end in.
     utils::duration margin = std::chrono::milliseconds(600);
     /// The balancer asks once a second and needs two misses; most of a second more for what is on its way.
-    utils::duration leaving = std::chrono::milliseconds(2900);
+    utils::duration leavingPeriod = std::chrono::milliseconds(2900);
     /// A node that starts reads what it needs in some 50 ms; an eighth of the callers' targets is 40 to 180.
-    utils::duration startPatience = std::chrono::milliseconds(300);
+    utils::duration startupWait = std::chrono::milliseconds(300);
 };
 
 /// When a node takes requests, from its start to its stop.
@@ -45,7 +45,7 @@
     /// Whether to answer callers: the node knows what it needs, or has waited long enough for it.
     bool isOpen(bool isComplete, utils::time_point now) const;
     /// When isOpen() is true at the latest.
-    utils::time_point opensAt() const { return m_startedAt + m_limits.startPatience; }
+    utils::time_point opensAt() const { return m_startedAt + m_limits.startupWait; }
 
     /// The stop signal came. Later calls change nothing.
     void beginStop(utils::time_point now);
@@ -53,7 +53,7 @@
     /// `requestsInProgress`: of this node.
     stop_phase phase(std::uint64_t requestsInProgress, utils::time_point now) const;
     /// Whether to take a request that may last so long.
-    bool mayTake(utils::duration timeout, utils::time_point now) const;
+    bool mayAccept(utils::duration timeout, utils::time_point now) const;
 
 private:
     utils::time_point endsAt() const { return m_stopAt + m_limits.grace - m_limits.margin; }
--- a/src/libs/decisions/spillmemory.cpp
+++ b/src/libs/decisions/spilltable.cpp
@@ -1,13 +1,13 @@
-#include "spillmemory.h"
+#include "spilltable.h"
 
 namespace decisions {
 
-spill_memory::spill_memory(spill_settings settings)
+spill_table::spill_table(spill_settings settings)
     : m_settings(settings)
 {
 }
 
-void spill_memory::remember(std::uint64_t chat, const spill_record& record, utils::time_point now)
+void spill_table::remember(std::uint64_t chat, const spill_record& record, utils::time_point now)
 {
     const entry fresh { chat, indexOf(record.server), record.prefixTokens, now };
     const auto found = m_byChat.find(chat);
@@ -23,15 +23,15 @@
     m_byChat.emplace(chat, m_byAge.insert(m_byAge.end(), fresh));
 }
 
-std::optional<spill_record> spill_memory::find(std::uint64_t chat, utils::time_point now) const
+std::optional<spill_record> spill_table::find(std::uint64_t chat, utils::time_point now) const
 {
     const auto found = m_byChat.find(chat);
-    if (found == m_byChat.end() || now - found->second->usedAt > m_settings.life)
+    if (found == m_byChat.end() || now - found->second->usedAt > m_settings.lifetime)
         return std::nullopt;
     return spill_record { m_servers[found->second->server], found->second->prefixTokens };
 }
 
-void spill_memory::forgetServer(const utils::server_id& server)
+void spill_table::forgetServer(const utils::server_id& server)
 {
     const auto known = m_serverIndex.find(server);
     if (known == m_serverIndex.end())
@@ -46,14 +46,14 @@
     }
 }
 
-void spill_memory::moved(std::uint64_t chat, const utils::server_id& to)
+void spill_table::moved(std::uint64_t chat, const utils::server_id& to)
 {
     const auto found = m_byChat.find(chat);
     if (found != m_byChat.end())
         found->second->server = indexOf(to);
 }
 
-void spill_memory::forget(std::uint64_t chat)
+void spill_table::forget(std::uint64_t chat)
 {
     const auto found = m_byChat.find(chat);
     if (found == m_byChat.end())
@@ -62,13 +62,13 @@
     m_byChat.erase(found);
 }
 
-void spill_memory::expire(utils::time_point now)
+void spill_table::expire(utils::time_point now)
 {
-    while (!m_byAge.empty() && now - m_byAge.front().usedAt > m_settings.life)
+    while (!m_byAge.empty() && now - m_byAge.front().usedAt > m_settings.lifetime)
         dropOldest();
 }
 
-std::uint32_t spill_memory::indexOf(const utils::server_id& server)
+std::uint32_t spill_table::indexOf(const utils::server_id& server)
 {
     const auto [found, isNew]
         = m_serverIndex.try_emplace(server, static_cast<std::uint32_t>(m_servers.size()));
@@ -77,7 +77,7 @@
     return found->second;
 }
 
-void spill_memory::dropOldest()
+void spill_table::dropOldest()
 {
     m_byChat.erase(m_byAge.front().chat);
     m_byAge.pop_front();
--- a/src/libs/decisions/spillmemory.h
+++ b/src/libs/decisions/spilltable.h
@@ -14,7 +14,8 @@
 
 struct spill_settings {
     std::size_t capacity = 200'000; ///< chats; about 100 bytes each
-    utils::duration life = std::chrono::hours(4); ///< a prefix does not stay in a server's cache for longer
+    utils::duration lifetime
+        = std::chrono::hours(4); ///< a prefix does not stay in a server's cache for longer
 };
 
 /// What a node remembers of a chat whose anchor it is home of.
@@ -28,9 +29,9 @@
 /// elsewhere returns to the server that holds its prefix and not to its anchor. Without it every spilled chat
 /// misses its cache twice, once going and once coming back. Bounded: the chat unused for longest goes first;
 /// a forgotten chat costs one prefill, never a wrong answer. Lost with the node on purpose. Not thread safe.
-class spill_memory {
+class spill_table {
 public:
-    explicit spill_memory(spill_settings settings = {});
+    explicit spill_table(spill_settings settings = {});
 
     /// The chat was dispatched to that server.
     void remember(std::uint64_t chat, const spill_record& record, utils::time_point now);
--- a/src/libs/gateway/answerrelay.h
+++ b/src/libs/gateway/answerrelay.h
@@ -75,7 +75,7 @@
         m_use.heard(now());
         connection->idleLimit = answer.idleLimit;
         if (answer.load)
-            m_context.loads.told(server, answer.load->running, answer.load->waiting, now());
+            m_context.loads.recordReport(server, answer.load->running, answer.load->waiting, now());
         if (answer.isNotExecuted) {
             if (answer.status == misdirected)
                 m_context.servers.disown(server);
--- a/src/libs/gateway/messages.h
+++ b/src/libs/gateway/messages.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decisions/prefixmemory.h"
+#include "decisions/prefixindex.h"
 
 #include "utils/time.h"
 
@@ -30,7 +30,7 @@
     std::optional<utils::duration> patience; ///< how long the caller waits
     std::string key; ///< empty without one
     std::optional<std::uint64_t> lastEventId; ///< the caller resumes a stream after this event
-    std::vector<decisions::shared_part> prompt; ///< shared parts first; the last one is the request's own
+    std::vector<decisions::prompt_part> prompt; ///< shared parts first; the last one is the request's own
     std::uint32_t promptTokens = 0;
     std::vector<header_line> passedOn; ///< headers that reach the backend server unchanged
     std::shared_ptr<const std::string> body; ///< null without one; shared with the writes that send it
--- a/src/libs/gateway/node.h
+++ b/src/libs/gateway/node.h
@@ -219,9 +219,9 @@
                 beat.shares.push_back({ server.str(), share });
         }
         beat.strikes = m_context.poison.strikes(present, strikesPerBeat);
-        for (decisions::placement_note& note : m_context.choice.takeNotes())
+        for (decisions::placement_update& note : m_context.choice.takeUpdates())
             beat.placements.push_back({ std::move(note) });
-        for (decisions::failure_note& note : m_context.failures.takeNotes()) {
+        for (decisions::failure_update& note : m_context.failures.takeUpdates()) {
             if (beat.failures.size() < peer_beat::maxEntries)
                 beat.failures.push_back({ std::move(note) });
         }
@@ -259,12 +259,12 @@
         std::map<utils::server_id, decisions::load_share> shares;
         for (const told_share& told : beat.shares)
             shares[utils::server_id(told.server)] = told.share;
-        m_context.loads.toldByPeer(utils::node_id(beat.node), shares, present);
+        m_context.loads.updatePeer(utils::node_id(beat.node), shares, present);
         m_context.poison.merge(beat.strikes, present);
         for (const told_placement& told : beat.placements)
             m_context.learnPlacement(told.note);
         for (const told_failures& told : beat.failures)
-            m_context.failures.learned(told.note, present);
+            m_context.failures.applyUpdate(told.note, present);
     }
 
     // Four a second: loads of peers are as old as one long step of an engine, at 1% of the processor time.
--- a/src/libs/gateway/nodecontext.cpp
+++ b/src/libs/gateway/nodecontext.cpp
@@ -69,15 +69,15 @@
     const catalogue::service* entry = configuration ? configuration->findService(service) : nullptr;
     const bool isEngine = entry != nullptr && entry->engine;
     return responseTimes[service]
-        = decisions::response_times(isEngine ? decisions::response_times::firstOccupancyOfStreams
-                                             : decisions::response_times::firstOccupancy);
+        = decisions::response_times(isEngine ? decisions::response_times::initialStreamOccupancy
+                                             : decisions::response_times::initialOccupancy);
 }
 
 utils::duration node_context::othersReading(
     const std::string& service, const utils::server_id& server, utils::time_point present) const
 {
     const auto times = responseTimes.find(service);
-    const std::uint32_t tokens = loads.mostOfPeers(server, present);
+    const std::uint32_t tokens = loads.maxPeerPromptTokens(server, present);
     if (times == responseTimes.end() || tokens == 0)
         return utils::duration::zero();
     return times->second.forecast(tokens).latest();
@@ -90,14 +90,14 @@
         && silence.isSilent(server, present, othersReading(service, server, present));
 }
 
-void node_context::learnPlacement(const decisions::placement_note& note)
+void node_context::learnPlacement(const decisions::placement_update& note)
 {
     const catalogue::backend_server* server = servers.find(utils::server_id(note.server));
     if (server == nullptr || !configuration)
         return;
     const catalogue::service* service = configuration->findService(server->service);
     if (service != nullptr && service->engine)
-        choice.learned(note, service->engine->cacheTokens);
+        choice.applyUpdate(note, service->engine->cacheTokens);
 }
 
 bool node_context::isViewTooOld(utils::time_point present) const
--- a/src/libs/gateway/nodecontext.h
+++ b/src/libs/gateway/nodecontext.h
@@ -15,8 +15,8 @@
 #include "decisions/serverchoice.h"
 #include "decisions/serverhealth.h"
 #include "decisions/serverload.h"
-#include "decisions/serversilence.h"
 #include "decisions/servicewindow.h"
+#include "decisions/silencedetector.h"
 #include "decisions/viewlag.h"
 
 #include "utils/errorkind.h"
@@ -48,7 +48,7 @@
     decisions::server_choice choice;
     decisions::server_health health;
     decisions::recent_failures failures;
-    decisions::server_silence silence;
+    decisions::silence_detector silence;
     std::map<std::string, decisions::response_times> responseTimes; ///< by service
     std::map<std::string, decisions::load_shedder> shedders; ///< by service
     decisions::poison_register poison;
@@ -74,7 +74,7 @@
     bool isSilent(
         const std::string& service, const utils::server_id& server, utils::time_point present) const;
     /// Another node has placed a prompt.
-    void learnPlacement(const decisions::placement_note& note);
+    void learnPlacement(const decisions::placement_update& note);
     /// Whether the view of the backend servers is too old to send requests by: peers have known more for so
     /// long that servers may have left in the meantime.
     bool isViewTooOld(utils::time_point present) const;
--- a/src/libs/gateway/peermessages.h
+++ b/src/libs/gateway/peermessages.h
@@ -31,12 +31,12 @@
 
 /// Where shared parts of a prompt were sent.
 struct told_placement {
-    decisions::placement_note note;
+    decisions::placement_update note;
 
     template <class Archive> void serialize(Archive& archive)
     {
         wire::detail::serializeShort(archive, note.server);
-        archive(note.bornAt);
+        archive(note.startedAtMs);
         wire::detail::serializeShort(archive, note.parts);
         archive(note.isWithdrawn);
     }
@@ -44,7 +44,7 @@
 
 /// Failures at a backend server since the last beat.
 struct told_failures {
-    decisions::failure_note note;
+    decisions::failure_update note;
 
     template <class Archive> void serialize(Archive& archive)
     {
--- a/src/libs/gateway/requestlog.cpp
+++ b/src/libs/gateway/requestlog.cpp
@@ -48,7 +48,7 @@
             fields.push_back({ "copied_from", result.copiedFrom.str() });
     }
     if (plan.parts.size() > 1) {
-        const decisions::shared_part& part = plan.parts[plan.parts.size() - 2];
+        const decisions::prompt_part& part = plan.parts[plan.parts.size() - 2];
         fields.push_back({ "shared_part", std::to_string(part.id) + ':' + std::to_string(part.tokens) });
     }
     if (result.events > 0) {
--- a/src/libs/gateway/requestplan.cpp
+++ b/src/libs/gateway/requestplan.cpp
@@ -108,7 +108,7 @@
         plan.workspace = workspace->name;
         plan.urgency = plan.configuration->urgencyOf(*plan.route, workspace);
     }
-    if (!context.window.mayTake(plan.route->timeout, request.arrivedAt))
+    if (!context.window.mayAccept(plan.route->timeout, request.arrivedAt))
         return utils::fail(error_kind::ShuttingDown, "this node is leaving");
     plan.digest = digestOf(request, plan.workspace);
     if (context.poison.check(plan.digest, now) == decisions::poison_verdict::Refuse)
@@ -136,7 +136,7 @@
         if (tried.contains(server->id))
             continue;
         candidates.push_back(candidateOf(*server, plan, context.health.weight(plan.service, server->id, now),
-            context.failures.at(server->id, now)));
+            context.failures.countAt(server->id, now)));
     }
     // Where all are silent the cause is most likely on this node's side.
     const auto isHeard
@@ -180,7 +180,7 @@
     std::vector<decisions::server_candidate> holders;
     for (const catalogue::backend_server* server : context.servers.present(plan.service)) {
         // A copy from a server that is down would wait for it.
-        if (!context.isSilent(plan.service, server->id, now) && !context.health.isPaused(server->id, now))
+        if (!context.isSilent(plan.service, server->id, now) && !context.health.isInBackoff(server->id, now))
             holders.push_back(candidateOf(*server, plan, 1));
     }
     const auto source = context.choice.sourceFor(candidateOf(chosen, plan, 1), holders, plan.parts);
--- a/src/libs/gateway/requestplan.h
+++ b/src/libs/gateway/requestplan.h
@@ -22,7 +22,7 @@
     std::string workspace; ///< empty for a public route
     int urgency = 0; ///< 0 is the most urgent, see configuration::urgencyOf
     decisions::body_digest digest; ///< of what would crash a server again
-    std::vector<decisions::shared_part> parts; ///< of the prompt
+    std::vector<decisions::prompt_part> parts; ///< of the prompt
     std::uint32_t promptTokens = 0;
     utils::time_point giveUpAt {};
     utils::time_point callerGivesUpAt {};
--- a/src/libs/serving/homeservice.h
+++ b/src/libs/serving/homeservice.h
@@ -6,7 +6,7 @@
 #include "homeslot.h"
 #include "nodecontext.h"
 
-#include "decisions/spillmemory.h"
+#include "decisions/spilltable.h"
 
 #include <boost/asio/awaitable.hpp>
 
@@ -102,7 +102,7 @@
     node_context& m_context;
     backend_pool m_connections;
     crash_probe m_crashes;
-    decisions::spill_memory m_spills;
+    decisions::spill_table m_spills;
     std::map<utils::server_id, std::unique_ptr<home_slot>> m_slots;
     std::map<utils::server_id, utils::pool_id> m_poolOf;
     decisions::entry_id m_lastEntry = 0;
--- a/src/libs/serving/livefleet.cpp
+++ b/src/libs/serving/livefleet.cpp
@@ -192,9 +192,9 @@
         slot.ledger.onClaimAnswer(earlierHomes, granted, now);
     }
     if (isActive)
-        slot.ledger.onRemaining(handover.inherited(server));
+        slot.ledger.onRemainingInFlight(handover.inherited(server));
     else
-        slot.ledger.loseCurrency();
+        slot.ledger.onViewStale();
     with([&](fleet::fleet_node& node, utils::time_point at) {
         node.setInFlight(server, slot.ledger.ownInFlight(), at);
     });
--- a/src/libs/serving/router.cpp
+++ b/src/libs/serving/router.cpp
@@ -107,7 +107,7 @@
             request.server = ask->server;
             request.holdsCache = ask->holdsCache;
             request.isAnchor = ask->isAnchor;
-        } else if (const auto* wait = std::get_if<decisions::wait_at>(&step)) {
+        } else if (const auto* wait = std::get_if<decisions::queue_at>(&step)) {
             request.server = wait->server;
             request.holdsCache = wait->holdsCache;
             request.isAnchor = false;
--- a/src/tools/measure/homepolicy.cpp
+++ b/src/tools/measure/homepolicy.cpp
@@ -1,6 +1,6 @@
 #include "homepolicy.h"
 
-#include "decisions/cachemoves.h"
+#include "decisions/cachetransfer.h"
 #include "decisions/rampup.h"
 
 #include <algorithm>
@@ -94,9 +94,9 @@
         if (const auto* home = std::get_if<decisions::ask_home>(&step)) {
             if (ask(turn, walk, *home, now))
                 return;
-        } else if (const auto* memory = std::get_if<decisions::ask_memory>(&step)) {
+        } else if (const auto* memory = std::get_if<decisions::ask_former_anchor>(&step)) {
             walk.onAnswer(lookUp(turn, memory->server, now));
-        } else if (const auto* wait = std::get_if<decisions::wait_at>(&step)) {
+        } else if (const auto* wait = std::get_if<decisions::queue_at>(&step)) {
             const auto& request = m_bench->trace().turns[turn];
             const auto rank = static_cast<std::size_t>(request.priority);
             if (tryAdmit(indexOf(wait->server), turn, wait->holdsCache, now)
@@ -152,7 +152,7 @@
     }
     const auto rank = static_cast<std::size_t>(request.priority);
     const auto longest = utils::fromSeconds(m_bench->load().reuseWait.at(rank));
-    const auto patience = decisions::patienceFor(prefixTokens, longest, {},
+    const auto patience = decisions::maxCacheWait(prefixTokens, longest, {},
         request.priority == decisions::priority_class::Draft ? m_settings.draftWaitWorth : 1);
     if (m_settings.waitsForCache && holdsCache && patience > utils::duration::zero()) {
         home.queues.at(rank).push_back({ turn, walk, now + patience, true, true });
--- a/src/tools/measure/homepolicy.h
+++ b/src/tools/measure/homepolicy.h
@@ -6,7 +6,7 @@
 #include "decisions/homeledger.h"
 #include "decisions/loadview.h"
 #include "decisions/ranking.h"
-#include "decisions/spillmemory.h"
+#include "decisions/spilltable.h"
 
 #include <array>
 #include <deque>
@@ -30,7 +30,7 @@
     bool skipsLoaded = true; ///< the entry node asks servers last that it knows to be at the mean or above
     std::size_t digestEntries = 12;
     double bound = 0; ///< c in place of the workload's; 0: the workload's
-    double draftWaitWorth = 10; ///< patienceFor's waitWorth for drafts
+    double draftWaitWorth = 10; ///< maxCacheWait's waitPerPrefillSecond for drafts
 };
 
 /// Placement by home nodes, made of the code that the daemon runs: the ranking, the walk, the ledgers at the
@@ -69,7 +69,7 @@
 
     struct router {
         decisions::load_view view;
-        decisions::spill_memory memory;
+        decisions::spill_table memory;
     };
 
     struct late_event {
--- a/src/tools/measure/placementcost.cpp
+++ b/src/tools/measure/placementcost.cpp
@@ -3,7 +3,7 @@
 #include "decisions/homeledger.h"
 #include "decisions/loadview.h"
 #include "decisions/ranking.h"
-#include "decisions/spillmemory.h"
+#include "decisions/spilltable.h"
 
 #include <malloc.h>
 
@@ -77,7 +77,7 @@
 std::size_t memoryBytes(std::size_t chats)
 {
     const auto before = heapBytes();
-    decisions::spill_memory memory;
+    decisions::spill_table memory;
     for (std::size_t i = 0; i < chats; ++i)
         memory.remember(i, { utils::server_id("engine-1"), 1000 }, utils::time_point {});
     return heapBytes() - before;
--- a/src/tools/measure/prefixcache.h
+++ b/src/tools/measure/prefixcache.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "decisions/cachemoves.h"
+#include "decisions/cachetransfer.h"
 
 #include "placementtrace.h"
 
--- a/tests/auto/decisions/placementfleet.cpp
+++ b/tests/auto/decisions/placementfleet.cpp
@@ -225,7 +225,7 @@
     state.isCurrent = m_now - state.lastActive < currencyTime;
     if (!state.isCurrent) {
         for (auto& ledger : state.ledgers)
-            ledger.loseCurrency();
+            ledger.onViewStale();
     }
     state.lastActive = m_now;
     for (std::size_t engine = 0; engine < m_engines.size(); ++engine)
@@ -299,7 +299,7 @@
                     continue;
                 m_nodes[to].view.merge({ server, ledger.ownInFlight(), ledger.weight(), m_now });
                 if (!m_skipsHandover)
-                    m_nodes[to].ledgers[engine].noteHolder(
+                    m_nodes[to].ledgers[engine].onHolderAnnounced(
                         m_nodes[from].id, outranks(server, m_nodes[from].id, m_nodes[to].id));
             }
         }
--- a/tests/auto/decisions/tst_loadshedding.cpp
+++ b/tests/auto/decisions/tst_loadshedding.cpp
@@ -107,7 +107,7 @@
                 outcome[place].inTime += waited <= targets[place] ? 1 : 0;
                 const double work = workSeconds[place] * (0.5 + unit());
                 m_running.push(now + static_cast<int>(work * 1000));
-                m_times.ended(next.kind, utils::fromSeconds(work));
+                m_times.recordOccupancy(next.kind, utils::fromSeconds(work));
             }
         }
     }
--- a/tests/auto/decisions/tst_placementhome.cpp
+++ b/tests/auto/decisions/tst_placementhome.cpp
@@ -1,4 +1,4 @@
-#include "decisions/cachemoves.h"
+#include "decisions/cachetransfer.h"
 #include "decisions/candidatewalk.h"
 #include "decisions/homeledger.h"
 #include "decisions/loadview.h"
@@ -64,7 +64,7 @@
     BOOST_TEST(after.load(start + 1s) == 5U);
     const double meanOfTwo = 2.0 / 32;
     BOOST_TEST(admitMany(after, 10, fleetWithMean(meanOfTwo), start + 1s) == 3U);
-    after.onRemaining(1);
+    after.onRemainingInFlight(1);
     BOOST_TEST(after.load(start + 2s) == 4U);
 }
 
@@ -93,7 +93,7 @@
     auto fleet = fleetWithMean(0.5);
     fleet.isCurrent = false;
     BOOST_TEST(admitMany(home, 1, fleet, start + 10s) == 0U);
-    home.loseCurrency();
+    home.onViewStale();
     BOOST_TEST(admitMany(home, 1, fleetWithMean(0.5), start + 10s) == 0U);
     home.claim(std::array { newHome }, start + 10s);
     BOOST_TEST(admitMany(home, 1, fleetWithMean(0.5), start + 19s) == 0U);
@@ -173,7 +173,7 @@
     walk.onAnswer({ .verdict = admit_verdict::OverBound, .load = 20, .slots = 32 });
     BOOST_TEST(std::get<ask_home>(walk.next()).server == ranking[1]);
     walk.onAnswer({ .verdict = admit_verdict::OverBound, .load = 25, .slots = 32 });
-    BOOST_TEST(std::get<wait_at>(walk.next()).server == ranking[0]);
+    BOOST_TEST(std::get<queue_at>(walk.next()).server == ranking[0]);
 }
 
 // A server joined and became the chat's anchor; its home has never heard of the chat. The former anchor's
@@ -184,7 +184,7 @@
     candidate_walk walk(ranking, ranking[1]);
     BOOST_TEST(std::get<ask_home>(walk.next()).onlyIfRemembered);
     walk.onAnswer({ .verdict = admit_verdict::OverBound });
-    BOOST_TEST(std::get<ask_memory>(walk.next()).server == ranking[1]);
+    BOOST_TEST(std::get<ask_former_anchor>(walk.next()).server == ranking[1]);
     walk.onAnswer({ .verdict = admit_verdict::OverBound });
     const auto plain = std::get<ask_home>(walk.next());
     BOOST_TEST(plain.server == ranking[0]);
@@ -249,10 +249,10 @@
     BOOST_TEST(planExports(prefixes, servers, { .tokens = 9000, .tokensPerSecond = 100 }).empty());
 
     const export_budget rates;
-    BOOST_TEST((chooseCache({ 40'000, 1s, 5s, true }, rates) == cache_choice::Import));
-    BOOST_TEST((chooseCache({ 40'000, 1s, 5s, false }, rates) == cache_choice::Wait));
-    BOOST_TEST((chooseCache({ 4000, 1s, 5s, false }, rates) == cache_choice::Recompute));
-    BOOST_TEST((patienceFor(40'000, 3s, rates) == 3s));
+    BOOST_TEST((chooseCacheAction({ 40'000, 1s, 5s, true }, rates) == cache_action::Import));
+    BOOST_TEST((chooseCacheAction({ 40'000, 1s, 5s, false }, rates) == cache_action::Wait));
+    BOOST_TEST((chooseCacheAction({ 4000, 1s, 5s, false }, rates) == cache_action::Recompute));
+    BOOST_TEST((maxCacheWait(40'000, 3s, rates) == 3s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_placementranking.cpp
+++ b/tests/auto/decisions/tst_placementranking.cpp
@@ -1,7 +1,7 @@
 #include "decisions/loadbound.h"
 #include "decisions/rampup.h"
 #include "decisions/ranking.h"
-#include "decisions/spillmemory.h"
+#include "decisions/spilltable.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -124,7 +124,7 @@
 BOOST_AUTO_TEST_CASE(aSpilledChatIsFoundAgainUntilItExpires)
 {
     const utils::time_point start { 1h };
-    spill_memory memory({ .capacity = 3, .life = 1h });
+    spill_table memory({ .capacity = 3, .lifetime = 1h });
     const utils::server_id other("engine-7");
     memory.remember(1, { other, 9000 }, start);
     BOOST_REQUIRE(memory.find(1, start + 59min).has_value());
@@ -138,7 +138,7 @@
 BOOST_AUTO_TEST_CASE(aFullMemoryForgetsTheChatUnusedForLongest)
 {
     const utils::time_point start { 1h };
-    spill_memory memory({ .capacity = 2, .life = 1h });
+    spill_table memory({ .capacity = 2, .lifetime = 1h });
     memory.remember(1, { utils::server_id("a"), 1 }, start);
     memory.remember(2, { utils::server_id("b"), 1 }, start + 1s);
     memory.remember(1, { utils::server_id("c"), 1 }, start + 2s);
--- a/tests/auto/decisions/tst_recentfailures.cpp
+++ b/tests/auto/decisions/tst_recentfailures.cpp
@@ -53,22 +53,22 @@
         std::vector<server_candidate> candidates;
         for (int server = 0; server < 3; ++server) {
             const server_id id("press-" + std::to_string(server));
-            const double known = how == awareness::None ? 0 : own.at(id, now);
+            const double known = how == awareness::None ? 0 : own.countAt(id, now);
             candidates.push_back({ id, "a", 6, 1, 0, 1, known });
         }
         const auto placed = choice.choose(candidates, { {}, 0, "a", random() }, idle, now);
         const auto index = static_cast<std::size_t>(placed->server.str().back() - '0');
         const bool isFailure = chance(random) < load.failing.at(index);
-        own.ended("pay", placed->server, isFailure, now);
+        own.recordOutcome("pay", placed->server, isFailure, now);
         result.failed += isFailure ? 1 : 0;
         ++result.sent[placed->server.str()];
         if (how != awareness::Told || i % 5 != 0)
             continue;
         for (recent_failures& teller : failures) {
-            for (const auto& note : teller.takeNotes()) {
+            for (const auto& note : teller.takeUpdates()) {
                 for (recent_failures& other : failures) {
                     if (&other != &teller)
-                        other.learned(note, now);
+                        other.applyUpdate(note, now);
                 }
             }
         }
@@ -110,17 +110,17 @@
         const utils::time_point now = at(i * gap);
         const std::size_t node = random() % nodes;
         const std::uint64_t document = random() % 30;
-        const std::vector<decisions::shared_part> parts { { document, 6000 }, { 1000U + i, 500 } };
+        const std::vector<decisions::prompt_part> parts { { document, 6000 }, { 1000U + i, 500 } };
         const auto placed
             = choices.at(node).choose(candidates, { parts, 6500, "a", random() }, loads.at(node), now);
         const auto chosen = std::ranges::find(candidates, placed->server, &server_candidate::id);
         result.overLimit += running[chosen->id] + 1 > 2 * meanOf(underWay.size(), engines) + 3 ? 1 : 0;
         result.atFailing += chosen - candidates.begin() < 8 ? 1 : 0;
-        choices.at(node).sent(*chosen, parts);
-        for (const auto& note : choices.at(node).takeNotes()) {
+        choices.at(node).recordSent(*chosen, parts);
+        for (const auto& note : choices.at(node).takeUpdates()) {
             for (std::size_t other = 0; other < nodes; ++other) {
                 if (other != node)
-                    choices.at(other).learned(note, chosen->cacheTokens);
+                    choices.at(other).applyUpdate(note, chosen->cacheTokens);
             }
         }
         loads.at(node).started(chosen->id, 0);
@@ -137,7 +137,7 @@
             continue;
         for (std::size_t other = 0; other < nodes; ++other) {
             if (other != teller)
-                loads.at(other).toldByPeer(
+                loads.at(other).updatePeer(
                     utils::node_id("n" + std::to_string(teller)), loads.at(teller).ownShares(), now);
         }
     }
@@ -195,12 +195,12 @@
     recent_failures failures;
     const server_id server("press-0");
     for (int i = 0; i < 700; ++i)
-        failures.ended("look", server, i % 7 == 0, at(100ms * i));
+        failures.recordOutcome("look", server, i % 7 == 0, at(100ms * i));
     // A seventh of what was seen in some four seconds would be 4 failures.
-    BOOST_TEST(failures.at(server, at(70s)) < 2);
+    BOOST_TEST(failures.countAt(server, at(70s)) < 2);
     for (int i = 0; i < 10; ++i)
-        failures.ended("look", server, true, at(70s));
-    BOOST_TEST(failures.at(server, at(70s)) > 6);
+        failures.recordOutcome("look", server, true, at(70s));
+    BOOST_TEST(failures.countAt(server, at(70s)) > 6);
 }
 
 BOOST_AUTO_TEST_CASE(failures_are_told_once_and_forgotten)
@@ -208,18 +208,18 @@
     recent_failures failures;
     recent_failures peer;
     const server_id server("press-0");
-    failures.ended("pay", server, true, at(0s));
-    const auto notes = failures.takeNotes();
+    failures.recordOutcome("pay", server, true, at(0s));
+    const auto notes = failures.takeUpdates();
     BOOST_REQUIRE(notes.size() == 1u);
-    BOOST_TEST(failures.takeNotes().empty());
-    peer.learned(notes.front(), at(0s));
-    BOOST_TEST(peer.at(server, at(0s)) == 1.0);
-    BOOST_TEST(peer.at(server, at(2s)) == 0.5);
-    BOOST_TEST(peer.takeNotes().empty());
-    peer.learned({ server, std::numeric_limits<float>::quiet_NaN() }, at(2s));
-    BOOST_TEST(peer.at(server, at(2s)) == 0.5);
+    BOOST_TEST(failures.takeUpdates().empty());
+    peer.applyUpdate(notes.front(), at(0s));
+    BOOST_TEST(peer.countAt(server, at(0s)) == 1.0);
+    BOOST_TEST(peer.countAt(server, at(2s)) == 0.5);
+    BOOST_TEST(peer.takeUpdates().empty());
+    peer.applyUpdate({ server, std::numeric_limits<float>::quiet_NaN() }, at(2s));
+    BOOST_TEST(peer.countAt(server, at(2s)) == 0.5);
     peer.expire(at(16s));
-    BOOST_TEST(peer.at(server, at(16s)) == 0.0);
+    BOOST_TEST(peer.countAt(server, at(16s)) == 0.0);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_repeatallowance.cpp
+++ b/tests/auto/decisions/tst_repeatallowance.cpp
@@ -112,14 +112,14 @@
     BOOST_TEST(health.weight("s", a, at(0s)) == 1);
     health.unreachable(a, at(0s));
     health.unreachable(a, at(100ms));
-    BOOST_TEST(health.isPaused(a, at(300ms)));
-    BOOST_TEST(!health.isPaused(a, at(500ms)));
+    BOOST_TEST(health.isInBackoff(a, at(300ms)));
+    BOOST_TEST(!health.isInBackoff(a, at(500ms)));
     health.unreachable(a, at(500ms));
-    BOOST_TEST(health.isPaused(a, at(1200ms)));
-    BOOST_TEST(!health.isPaused(a, at(1400ms)));
+    BOOST_TEST(health.isInBackoff(a, at(1200ms)));
+    BOOST_TEST(!health.isInBackoff(a, at(1400ms)));
     health.succeeded("s", a, 10ms, at(1400ms));
     health.unreachable(a, at(2s));
-    BOOST_TEST(!health.isPaused(a, at(2500ms)));
+    BOOST_TEST(!health.isInBackoff(a, at(2500ms)));
 }
 
 // Engines always run many requests, so no suspect is ever alone. Three crashes without an end between
--- a/tests/auto/decisions/tst_responsetimes.cpp
+++ b/tests/auto/decisions/tst_responsetimes.cpp
@@ -1,5 +1,5 @@
 #include "decisions/responsetimes.h"
-#include "decisions/serversilence.h"
+#include "decisions/silencedetector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -7,7 +7,7 @@
 
 using namespace std::chrono_literals;
 using decisions::response_times;
-using decisions::server_silence;
+using decisions::silence_detector;
 using utils::server_id;
 
 namespace {
@@ -26,7 +26,7 @@
     for (int i = 0; i < 300; ++i) {
         const auto tokens = static_cast<std::uint32_t>(100 + random() % 11900);
         const double noise = 0.85 + 0.3 * static_cast<double>(random() % 1000) / 1000;
-        times.began(tokens, 15ms + utils::fromSeconds(tokens / tokensPerSecond * noise));
+        times.recordFirstByte(tokens, 15ms + utils::fromSeconds(tokens / tokensPerSecond * noise));
     }
     return times;
 }
@@ -52,7 +52,7 @@
     response_times times = learnedFrom(20000);
     const double before = times.secondsPerToken();
     for (int i = 0; i < 2000; ++i)
-        times.began(20, 400ms);
+        times.recordFirstByte(20, 400ms);
     BOOST_TEST(times.secondsPerToken() == before);
     BOOST_TEST((times.forecast(0).expected() > 350ms));
 }
@@ -62,15 +62,15 @@
 BOOST_AUTO_TEST_CASE(a_slow_engine_that_reads_a_long_prompt_is_not_dark)
 {
     const response_times times = learnedFrom(25000);
-    const utils::duration limit = server_silence::limitFor(1s, true);
+    const utils::duration limit = silence_detector::limitFor(1s, true);
     const server_id engine("engine");
-    server_silence silence;
-    silence.sent(engine, 1, limit, times.forecast(30000).latest(), at(0s));
-    silence.sent(engine, 2, limit, times.forecast(300).latest(), at(200ms));
+    silence_detector silence;
+    silence.requestSent(engine, 1, limit, times.forecast(30000).latest(), at(0s));
+    silence.requestSent(engine, 2, limit, times.forecast(300).latest(), at(200ms));
     BOOST_TEST(!silence.isSilent(engine, at(1400ms)));
     // Once it is read, the usual limit holds again.
-    silence.heard(engine, at(1400ms));
-    silence.promptRead(engine, 1);
+    silence.dataReceived(engine, at(1400ms));
+    silence.prefillFinished(engine, 1);
     BOOST_TEST(!silence.isSilent(engine, at(2300ms)));
     BOOST_TEST(silence.isSilent(engine, at(2500ms)));
 }
@@ -79,10 +79,10 @@
 BOOST_AUTO_TEST_CASE(an_engine_without_long_prompts_is_left_at_the_usual_limit)
 {
     const response_times times = learnedFrom(60000);
-    const utils::duration limit = server_silence::limitFor(1s, true);
+    const utils::duration limit = silence_detector::limitFor(1s, true);
     const server_id engine("engine");
-    server_silence silence;
-    silence.sent(engine, 1, limit, times.forecast(12000).latest(), at(0s));
+    silence_detector silence;
+    silence.requestSent(engine, 1, limit, times.forecast(12000).latest(), at(0s));
     BOOST_TEST(!silence.isSilent(engine, at(990ms)));
     BOOST_TEST(silence.isSilent(engine, at(1010ms)));
 }
--- a/tests/auto/decisions/tst_serverchoice.cpp
+++ b/tests/auto/decisions/tst_serverchoice.cpp
@@ -1,5 +1,5 @@
 #include "decisions/serverchoice.h"
-#include "decisions/serversilence.h"
+#include "decisions/silencedetector.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -10,10 +10,10 @@
 
 using namespace std::chrono_literals;
 using decisions::placement_query;
+using decisions::prompt_part;
 using decisions::server_candidate;
 using decisions::server_choice;
 using decisions::server_loads;
-using decisions::shared_part;
 using utils::server_id;
 
 namespace {
@@ -33,15 +33,15 @@
 }
 
 /// A prompt about document `thing`: a shared part and one of its own.
-std::vector<shared_part> promptAbout(std::uint64_t thing, std::uint64_t own)
+std::vector<prompt_part> promptAbout(std::uint64_t thing, std::uint64_t own)
 {
     return { { thing, 10000 }, { 1000000 + own, 1300 } };
 }
 
-placement_query queryFor(const std::vector<shared_part>& parts, std::uint64_t salt)
+placement_query queryFor(const std::vector<prompt_part>& parts, std::uint64_t salt)
 {
     std::uint32_t tokens = 0;
-    for (const shared_part& part : parts)
+    for (const prompt_part& part : parts)
         tokens += part.tokens;
     return { parts, tokens, "a", salt };
 }
@@ -69,11 +69,11 @@
         const auto placed = choice.choose(candidates, queryFor(parts, i), loads[0], at(0s));
         BOOST_REQUIRE(placed.has_value());
         const auto chosen = std::ranges::find(candidates, placed->server, &server_candidate::id);
-        choice.sent(*chosen, parts);
-        for (const auto& note : choice.takeNotes()) {
+        choice.recordSent(*chosen, parts);
+        for (const auto& note : choice.takeUpdates()) {
             for (server_choice& other : choices) {
                 if (share && &other != &choice)
-                    other.learned(note, chosen->cacheTokens);
+                    other.applyUpdate(note, chosen->cacheTokens);
             }
         }
         auto& readers = readBy[thing];
@@ -116,7 +116,7 @@
         if (!readBy[thing].contains(placed->server.str()))
             (copies && source ? work.copied : work.read) += parts.front().tokens;
         readBy[thing].insert(placed->server.str());
-        choice.sent(*chosen, parts);
+        choice.recordSent(*chosen, parts);
         loads.started(placed->server, 0);
         underWay.push_back(placed->server);
         if (underWay.size() > 60) {
@@ -152,14 +152,14 @@
     server_choice choice;
     const auto parts = promptAbout(5, 1);
     BOOST_TEST(!choice.sourceFor(candidates[0], candidates, parts).has_value());
-    choice.sent(candidates[1], parts);
+    choice.recordSent(candidates[1], parts);
     BOOST_TEST(choice.sourceFor(candidates[0], candidates, parts)->server == candidates[1].id);
     BOOST_TEST(choice.sourceFor(candidates[0], candidates, parts)->tokens == 10000u);
     BOOST_TEST(!choice.sourceFor(candidates[1], candidates, parts).has_value());
     candidates[1].weight = 0;
     BOOST_TEST(!choice.sourceFor(candidates[0], candidates, parts).has_value());
-    const std::vector<shared_part> small { { 7, server_choice::leastCopiedTokens - 1 }, { 8, 100 } };
-    choice.sent(candidates[2], small);
+    const std::vector<prompt_part> small { { 7, server_choice::minCopyTokens - 1 }, { 8, 100 } };
+    choice.recordSent(candidates[2], small);
     BOOST_TEST(!choice.sourceFor(candidates[0], candidates, small).has_value());
 }
 
@@ -189,7 +189,7 @@
         const auto parts = promptAbout(isHot ? 0 : 1 + i % 29, i);
         const auto placed = choice.choose(candidates, queryFor(parts, i), loads, at(0s));
         const auto chosen = std::ranges::find(candidates, placed->server, &server_candidate::id);
-        choice.sent(*chosen, parts);
+        choice.recordSent(*chosen, parts);
         loads.started(placed->server, 0);
         if (isHot)
             hotAt.insert(placed->server.str());
@@ -225,9 +225,9 @@
     const auto parts = promptAbout(5, 1);
     const auto placed = choice.choose(candidates, queryFor(parts, 1), loads, at(0s));
     const auto chosen = std::ranges::find(candidates, placed->server, &server_candidate::id);
-    choice.sent(*chosen, parts);
+    choice.recordSent(*chosen, parts);
     BOOST_TEST(choice.choose(candidates, queryFor(parts, 1), loads, at(0s))->heldTokens == 11300u);
-    chosen->bornAt = 2;
+    chosen->startedAtMs = 2;
     BOOST_TEST(choice.choose(candidates, queryFor(parts, 1), loads, at(0s))->heldTokens == 0u);
 }
 
@@ -273,11 +273,11 @@
     server_loads loads;
     const server_id a("a");
     loads.started(a, 500);
-    loads.toldByPeer(utils::node_id("n2"), { { a, { 4, 900 } } }, at(0s));
+    loads.updatePeer(utils::node_id("n2"), { { a, { 4, 900 } } }, at(0s));
     BOOST_TEST(loads.total(a, at(1s)).requests == 5u);
     BOOST_TEST(loads.total(a, at(1s)).promptTokens == 1400u);
     BOOST_TEST(loads.total(a, at(2s)).requests == 1u);
-    loads.told(a, 9, 2, at(2s));
+    loads.recordReport(a, 9, 2, at(2s));
     BOOST_TEST(loads.total(a, at(2s)).requests == 11u);
     loads.started(a, 0);
     BOOST_TEST(loads.total(a, at(2s)).requests == 12u);
@@ -293,23 +293,23 @@
 BOOST_AUTO_TEST_CASE(a_prompt_that_was_not_read_is_not_held)
 {
     const server_candidate engine { server_id("engine"), "a", 64, 1, 500000, 1 };
-    const std::vector<shared_part> parts { { 1, 600 }, { 2, 30000 }, { 3, 1300 } };
-    const std::vector<shared_part> first { { 1, 600 }, { 9, 100 } };
+    const std::vector<prompt_part> parts { { 1, 600 }, { 2, 30000 }, { 3, 1300 } };
+    const std::vector<prompt_part> first { { 1, 600 }, { 9, 100 } };
     server_choice choice;
     server_choice peer;
     const auto tell = [&] {
-        for (const decisions::placement_note& note : choice.takeNotes())
-            peer.learned(note, engine.cacheTokens);
+        for (const decisions::placement_update& note : choice.takeUpdates())
+            peer.applyUpdate(note, engine.cacheTokens);
     };
     const auto heldBy = [&](const server_choice& node) {
         return node.choose({ engine }, queryFor(parts, 1), server_loads(), at(0s))->heldTokens;
     };
-    choice.sent(engine, first);
-    choice.sent(engine, parts);
+    choice.recordSent(engine, first);
+    choice.recordSent(engine, parts);
     tell();
     BOOST_TEST(heldBy(choice) == 31900u);
     BOOST_TEST(heldBy(peer) == 30600u);
-    choice.withdrawn(engine, parts, 600);
+    choice.recordWithdrawn(engine, parts, 600);
     tell();
     BOOST_TEST(heldBy(choice) == 600u);
     BOOST_TEST(heldBy(peer) == 600u);
@@ -319,39 +319,39 @@
 BOOST_AUTO_TEST_CASE(prompts_of_other_nodes_are_given_time)
 {
     const server_id engine("engine");
-    decisions::server_silence silence;
-    silence.sent(engine, 1, 1s, 20ms, at(0s));
+    decisions::silence_detector silence;
+    silence.requestSent(engine, 1, 1s, 20ms, at(0s));
     BOOST_TEST(silence.isSilent(engine, at(1200ms)));
     BOOST_TEST(!silence.isSilent(engine, at(1200ms), 1500ms));
     BOOST_TEST(silence.isSilent(engine, at(1600ms), 1500ms));
     server_loads loads;
-    loads.toldByPeer(utils::node_id("x"), { { engine, { 2, 9000 } } }, at(0s));
-    loads.toldByPeer(utils::node_id("y"), { { engine, { 1, 12000 } } }, at(0s));
-    BOOST_TEST(loads.mostOfPeers(engine, at(100ms)) == 12000u);
-    BOOST_TEST(loads.mostOfPeers(engine, at(5s)) == 0u);
+    loads.updatePeer(utils::node_id("x"), { { engine, { 2, 9000 } } }, at(0s));
+    loads.updatePeer(utils::node_id("y"), { { engine, { 1, 12000 } } }, at(0s));
+    BOOST_TEST(loads.maxPeerPromptTokens(engine, at(100ms)) == 12000u);
+    BOOST_TEST(loads.maxPeerPromptTokens(engine, at(5s)) == 0u);
 }
 
 // A server goes dark with its connections open. Nothing is heard of it for longer than a first byte takes,
 // so new requests go elsewhere; a server that is busy with a long prompt is heard by its other streams.
 BOOST_AUTO_TEST_CASE(a_dark_server_is_told_from_a_busy_one)
 {
-    decisions::server_silence silence;
+    decisions::silence_detector silence;
     const server_id dark("dark");
     const server_id busy("busy");
-    const utils::duration limit = decisions::server_silence::limitFor(1s, true);
+    const utils::duration limit = decisions::silence_detector::limitFor(1s, true);
     BOOST_TEST((limit == 1s));
-    BOOST_TEST((decisions::server_silence::limitFor(300ms, false) == 400ms));
-    silence.sent(dark, 1, limit, 0s, at(0s));
-    silence.sent(busy, 2, limit, 0s, at(0s));
-    silence.sent(busy, 3, limit, 0s, at(0s));
+    BOOST_TEST((decisions::silence_detector::limitFor(300ms, false) == 400ms));
+    silence.requestSent(dark, 1, limit, 0s, at(0s));
+    silence.requestSent(busy, 2, limit, 0s, at(0s));
+    silence.requestSent(busy, 3, limit, 0s, at(0s));
     for (int i = 1; i <= 20; ++i)
-        silence.heard(busy, at(i * 100ms));
+        silence.dataReceived(busy, at(i * 100ms));
     BOOST_TEST(!silence.isSilent(dark, at(900ms)));
     BOOST_TEST(silence.isSilent(dark, at(1100ms)));
     BOOST_TEST(!silence.isSilent(busy, at(2s)));
-    silence.heard(dark, at(3s));
+    silence.dataReceived(dark, at(3s));
     BOOST_TEST(!silence.isSilent(dark, at(3s)));
-    silence.ended(dark, 1);
+    silence.requestEnded(dark, 1);
     BOOST_TEST(!silence.isSilent(dark, at(60s)));
 }
 
--- a/tests/auto/decisions/tst_servicewindow.cpp
+++ b/tests/auto/decisions/tst_servicewindow.cpp
@@ -31,7 +31,7 @@
     for (utils::duration since {}; since < 7400ms; since += 10ms) {
         const bool isShort = random() % 3 != 0;
         const utils::duration timeout = isShort ? 800ms : 12s;
-        const bool isTaken = takesShortOnes ? window.mayTake(timeout, at(10s + since)) : since < 2900ms;
+        const bool isTaken = takesShortOnes ? window.mayAccept(timeout, at(10s + since)) : since < 2900ms;
         count.all += isTaken ? 0 : 1;
         count.shortOnes += !isTaken && isShort ? 1 : 0;
     }
@@ -60,12 +60,12 @@
 BOOST_AUTO_TEST_CASE(a_leaving_node_takes_what_surely_ends)
 {
     service_window window({}, at(0s));
-    BOOST_TEST(window.mayTake(12s, at(9s)));
+    BOOST_TEST(window.mayAccept(12s, at(9s)));
     window.beginStop(at(10s));
-    BOOST_TEST(window.mayTake(12s, at(12899ms)));
-    BOOST_TEST(!window.mayTake(12s, at(12900ms)));
-    BOOST_TEST(window.mayTake(800ms, at(16600ms)));
-    BOOST_TEST(!window.mayTake(800ms, at(16601ms)));
+    BOOST_TEST(window.mayAccept(12s, at(12899ms)));
+    BOOST_TEST(!window.mayAccept(12s, at(12900ms)));
+    BOOST_TEST(window.mayAccept(800ms, at(16600ms)));
+    BOOST_TEST(!window.mayAccept(800ms, at(16601ms)));
     const turned_away strict = turnedAwayWhileLeaving(false);
     const turned_away chosen = turnedAwayWhileLeaving(true);
     BOOST_TEST_MESSAGE("turned away: " << strict.all << " if nothing is taken, " << chosen.all);
@@ -80,9 +80,9 @@
     const window_limits limits;
     service_window window(limits, at(0s));
     window.beginStop(at(10s));
-    for (utils::duration since = limits.leaving; since < limits.grace; since += 50ms) {
+    for (utils::duration since = limits.leavingPeriod; since < limits.grace; since += 50ms) {
         for (utils::duration timeout = 100ms; timeout < 9s; timeout += 100ms) {
-            if (window.mayTake(timeout, at(10s + since)))
+            if (window.mayAccept(timeout, at(10s + since)))
                 BOOST_TEST((window.phase(1, at(10s + since + timeout - 1us)) != stop_phase::Done));
         }
     }
