--- a/src/libs/gateway/attempttracker.cpp
+++ b/src/libs/gateway/attempttracker.cpp
@@ -19,7 +19,7 @@
     m_lastReceivedAt = now;
     m_isPromptPending = true;
     m_firstEventAt = {};
-    m_serverSilence = decisions::server_silence::limitFor(m_plan.route->targetLatency, m_plan.isEngine);
+    m_serverSilence = decisions::silence_detector::limitFor(m_plan.route->targetLatency, m_plan.isEngine);
     const decisions::response_times& times = m_context.responseTimesOf(m_plan.service);
     m_tokensAhead = placement.load.promptTokens + unreadTokens;
     const utils::duration slotWait
@@ -30,15 +30,16 @@
     m_unreadTokens = unreadTokens;
     m_context.loads.started(m_server, m_unreadTokens);
     m_candidate = { m_server, server.dataCentre, server.slots, 1, m_plan.cacheTokens, server.startedAtMs, 0 };
-    m_context.choice.sent(m_candidate, m_plan.parts);
+    m_context.choice.recordSent(m_candidate, m_plan.parts);
     m_context.runningRequests[m_number] = { m_server, server.startedAtMs, m_plan.digest };
-    m_context.silence.sent(m_server, m_number, m_serverSilence, times.forecast(unreadTokens).latest(), now);
+    m_context.silence.requestSent(
+        m_server, m_number, m_serverSilence, times.forecast(unreadTokens).latest(), now);
 }
 
 void attempt_tracker::dataReceived(utils::time_point now)
 {
     m_lastReceivedAt = now;
-    m_context.silence.heard(m_server, now);
+    m_context.silence.dataReceived(m_server, now);
 }
 
 void attempt_tracker::prefillDone()
@@ -48,13 +49,13 @@
     m_isPromptPending = false;
     m_latestResponse = utils::duration::zero();
     m_context.loads.answered(m_server, m_unreadTokens);
-    m_context.silence.promptRead(m_server, m_number);
+    m_context.silence.prefillFinished(m_server, m_number);
 }
 
 void attempt_tracker::firstEventReceived(utils::time_point now)
 {
     if (m_isPromptPending && m_hasSlot)
-        m_context.responseTimesOf(m_plan.service).began(m_tokensAhead, now - m_sentAt);
+        m_context.responseTimesOf(m_plan.service).recordFirstByte(m_tokensAhead, now - m_sentAt);
     m_firstEventAt = now;
     prefillDone();
     m_context.health.succeeded(m_plan.service, m_server, now - m_sentAt, now);
@@ -63,10 +64,10 @@
 void attempt_tracker::end(attempt_outcome outcome, int status, utils::time_point now)
 {
     if (m_isPromptPending)
-        m_context.choice.withdrawn(m_candidate, m_plan.parts, m_heldTokens);
+        m_context.choice.recordWithdrawn(m_candidate, m_plan.parts, m_heldTokens);
     prefillDone();
     m_context.loads.finished(m_server);
-    m_context.silence.ended(m_server, m_number);
+    m_context.silence.requestEnded(m_server, m_number);
     if (outcome == attempt_outcome::Cut)
         recordCrash(m_context, m_server, now);
     m_context.runningRequests.erase(m_number);
@@ -75,7 +76,7 @@
     if (isFailure)
         m_context.health.failed(m_plan.service, m_server, now);
     if (isFailure || outcome == attempt_outcome::Answered)
-        m_context.failures.ended(m_plan.route->name, m_server, isFailure || status >= firstFailure, now);
+        m_context.failures.recordOutcome(m_plan.route->name, m_server, isFailure || status >= firstFailure, now);
     if (outcome != attempt_outcome::Answered)
         return;
     m_context.poison.completed(m_plan.digest, now);
@@ -91,13 +92,14 @@
     if (!isShort) {
         if (m_firstEventAt == utils::time_point())
             return;
-        times.ended(queueUrgency(m_plan), now - m_firstEventAt + times.forecast(m_unreadTokens).reading);
+        times.recordOccupancy(
+            queueUrgency(m_plan), now - m_firstEventAt + times.forecast(m_unreadTokens).prefill);
         return;
     }
     if (!m_hasSlot)
         return;
-    times.began(0, now - m_sentAt);
-    times.ended(queueUrgency(m_plan), now - m_sentAt);
+    times.recordFirstByte(0, now - m_sentAt);
+    times.recordOccupancy(queueUrgency(m_plan), now - m_sentAt);
 }
 
 utils::duration attempt_tracker::silentFor(utils::time_point now) const
@@ -109,7 +111,7 @@
 {
     const utils::time_point serverHeardAt = std::max(m_lastReceivedAt, m_context.silence.lastHeard(m_server));
     const utils::duration serverLimit
-        = std::max({ m_serverSilence, m_context.silence.longestReading(m_server),
+        = std::max({ m_serverSilence, m_context.silence.longestPrefill(m_server),
             m_context.peerPrefillTime(m_plan.service, m_server, now) });
     return std::min(m_lastReceivedAt + std::max(limit, m_latestResponse), serverHeardAt + serverLimit);
 }
--- a/src/libs/gateway/responserelay.h
+++ b/src/libs/gateway/responserelay.h
@@ -75,7 +75,7 @@
         m_tracker.dataReceived(now());
         connection->idleLimit = response.idleLimit;
         if (response.load)
-            m_context.loads.told(server, response.load->running, response.load->waiting, now());
+            m_context.loads.recordReport(server, response.load->running, response.load->waiting, now());
         if (response.isNotExecuted) {
             if (response.status == misdirected)
                 m_context.servers.markIdentityMismatch(server);
--- a/tests/auto/decisions/tst_loadshedding.cpp
+++ b/tests/auto/decisions/tst_loadshedding.cpp
@@ -107,7 +107,7 @@
                 outcome[index].inTime += waited <= targets[index] ? 1 : 0;
                 const double work = workSeconds[index] * (0.5 + uniform());
                 m_running.push(now + static_cast<int>(work * 1000));
-                m_times.ended(next.kind, utils::fromSeconds(work));
+                m_times.recordOccupancy(next.kind, utils::fromSeconds(work));
             }
         }
     }
