--- a/tests/auto/gateway/tst_attempt.cpp
+++ b/tests/auto/gateway/tst_attempt.cpp
@@ -8,9 +8,9 @@
 
 BOOST_AUTO_TEST_SUITE(attempts)
 
-// A payment's connection breaks after its bytes went out. It may have run: nothing more may be sent, and
-// "not run" must not be said, neither now nor after anything else happens.
-BOOST_AUTO_TEST_CASE(what_may_have_run_is_neither_repeated_nor_called_not_run)
+// A payment's connection breaks after its bytes were sent, so the payment may have run. It must not be sent
+// again, and the caller must not be told "not run", whatever happens later.
+BOOST_AUTO_TEST_CASE(a_request_that_may_have_run_is_not_retried_or_reported_as_not_run)
 {
     for (const attempt_outcome end : { attempt_outcome::Cut, attempt_outcome::Silent,
              attempt_outcome::Garbled, attempt_outcome::Failed, attempt_outcome::Stopped }) {
@@ -24,7 +24,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(what_has_not_run_goes_on_elsewhere_and_is_refused_truly)
+BOOST_AUTO_TEST_CASE(a_request_that_has_not_run_is_retried_and_reported_as_not_run)
 {
     attempt_record payment(false, 1);
     payment.add(attempt_outcome::NotSent);
@@ -38,8 +38,8 @@
     BOOST_TEST(utils::answerFor(payment.finalErrorKind()).httpStatus == 503);
 }
 
-// A lookup may run at two servers by its route. The second failure is the last.
-BOOST_AUTO_TEST_CASE(repeats_end_with_the_runs_that_the_route_allows)
+// The route of a lookup allows two runs; the second failure is the last one.
+BOOST_AUTO_TEST_CASE(retries_end_at_the_maximum_of_the_route)
 {
     attempt_record lookup(true, 2);
     lookup.add(attempt_outcome::Cut);
@@ -49,8 +49,9 @@
     BOOST_TEST((lookup.finalErrorKind() == error_kind::ServerTimeout));
 }
 
-// All servers shed, or none can be reached: the search ends, so that the caller hears of it in time.
-BOOST_AUTO_TEST_CASE(a_search_without_success_ends)
+// All servers shed the request, or none is reachable: the attempts end, so that the caller gets its error in
+// time.
+BOOST_AUTO_TEST_CASE(attempts_without_a_usable_server_end)
 {
     attempt_record shed(true, 2);
     for (unsigned i = 0; i < attempt_record::maxNotRun; ++i) {
@@ -65,7 +66,7 @@
     BOOST_TEST((unreachable.finalErrorKind() == error_kind::NoServer));
 }
 
-BOOST_AUTO_TEST_CASE(repeats_that_are_used_up_end_the_search)
+BOOST_AUTO_TEST_CASE(an_exhausted_retry_budget_ends_the_attempts)
 {
     attempt_record lookup(true, 2);
     lookup.add(attempt_outcome::Cut);
--- a/tests/auto/gateway/tst_callerconnection.cpp
+++ b/tests/auto/gateway/tst_callerconnection.cpp
@@ -18,7 +18,7 @@
 
 const std::string request = "GET /look/1 HTTP/1.1\r\nHost: shop.example\r\n\r\n";
 
-/// A caller and the node's end of its connection, in one I/O context that the test turns.
+/// A caller and the node's end of its connection, in one I/O context that the test runs.
 struct caller_pair {
     caller_pair()
     {
@@ -40,7 +40,7 @@
             boost::asio::detached);
     }
 
-    /// Runs `work` after so many turns of the queue.
+    /// Runs `work` after `turns` rounds of the executor's queue.
     void after(unsigned turns, std::function<void()> work)
     {
         if (turns == 0)
@@ -59,14 +59,13 @@
 
 BOOST_AUTO_TEST_SUITE(caller_connections)
 
-// The caller's connection is cut without an answer, though its request was sent on to a server. The request
-// was there before the node looked: its bytes were read at once, and the code that waits for them had not run
-// yet when the node, which leaves, closed its idle connections. The request was served to a connection that
-// was gone.
-BOOST_AUTO_TEST_CASE(a_request_that_was_read_is_not_cut_as_idle)
+// Guards against a connection that is closed as idle while its request is being processed: the bytes had been
+// read, the coroutine that waits for them had not resumed yet, and a node that was shutting down closed its
+// idle connections. The request was served, but its response had no connection.
+BOOST_AUTO_TEST_CASE(a_connection_whose_request_was_read_is_not_closed_as_idle)
 {
-    constexpr unsigned mostTurns = 6; // the read is taken up after two
-    for (unsigned turns = 0; turns < mostTurns; ++turns) {
+    constexpr unsigned maxTurns = 6; // the coroutine resumes after two
+    for (unsigned turns = 0; turns < maxTurns; ++turns) {
         caller_pair pair;
         boost::asio::write(pair.caller, boost::asio::buffer(request));
         pair.readRequest();
@@ -81,7 +80,8 @@
     }
 }
 
-// A caller that has left before its request was taken up waits for nothing: no server need work for it.
+// A caller that closes its connection before its request is processed waits for no response, so no server
+// should work for it.
 BOOST_AUTO_TEST_CASE(a_caller_that_has_left_is_noticed_at_once)
 {
     caller_pair pair;
--- a/tests/auto/gateway/tst_eventscanner.cpp
+++ b/tests/auto/gateway/tst_eventscanner.cpp
@@ -20,7 +20,7 @@
 
 BOOST_AUTO_TEST_SUITE(events)
 
-BOOST_AUTO_TEST_CASE(events_go_on_whole_however_the_bytes_come)
+BOOST_AUTO_TEST_CASE(events_are_forwarded_whole_however_their_bytes_arrive)
 {
     const std::string bytes = eventText(1) + eventText(2) + eventText(3);
     event_scanner scanner;
@@ -33,9 +33,9 @@
     BOOST_TEST(scanner.count() == 3u);
 }
 
-// An engine dies in the middle of event 3; the next one goes on after event 2 and, since its copy is older,
-// begins with event 2 once more. The caller gets each event once.
-BOOST_AUTO_TEST_CASE(a_stream_that_is_resumed_has_each_event_once)
+// An engine fails in the middle of event 3. The next engine resumes after event 2 and, since its copy is
+// older, sends event 2 once more. The caller gets each event once.
+BOOST_AUTO_TEST_CASE(a_resumed_stream_has_each_event_once)
 {
     event_scanner scanner;
     std::string passed = scanner.take(eventText(1) + eventText(2) + "id: 3\nda");
@@ -46,7 +46,7 @@
     BOOST_TEST(scanner.isAtBoundary());
 }
 
-// A second engine goes on too late: event 3 is missing. The stream must not go on as if nothing were.
+// The second engine resumes too late, so event 3 is missing. The stream must not continue with a gap.
 BOOST_AUTO_TEST_CASE(a_gap_ends_the_stream)
 {
     event_scanner scanner;
@@ -55,8 +55,8 @@
     BOOST_TEST(scanner.take(eventText(5)).empty());
 }
 
-// The caller itself resumes after event 7.
-BOOST_AUTO_TEST_CASE(a_caller_that_resumes_gets_what_follows)
+// The caller itself resumes a stream after event 7.
+BOOST_AUTO_TEST_CASE(a_resuming_caller_gets_the_following_events)
 {
     event_scanner scanner(7);
     BOOST_TEST(scanner.take(eventText(8)) == eventText(8));
@@ -66,7 +66,7 @@
     BOOST_TEST(late.fault() == stream_fault::Gap);
 }
 
-// A server sends an event that never ends. Kept until it did, it would take all memory.
+// A server sends an event that never ends. Buffered until its end, it would use up the memory of the node.
 BOOST_AUTO_TEST_CASE(an_event_that_is_too_long_is_a_fault)
 {
     event_scanner scanner;
--- a/tests/auto/gateway/tst_gatewayfuzz.cpp
+++ b/tests/auto/gateway/tst_gatewayfuzz.cpp
@@ -42,8 +42,8 @@
 
 } // namespace
 
-// Bytes from outside that are damaged on their way or made by somebody else. Whatever they are, a node that
-// reads them goes on, and takes nothing from them that it would write in another way.
+// Input that is damaged in transit or crafted by a third party. A node that reads it must keep running, and
+// must accept nothing that it would encode differently.
 BOOST_AUTO_TEST_SUITE(gateway_fuzz)
 
 BOOST_AUTO_TEST_CASE(damaged_messages_of_peers)
--- a/tests/auto/gateway/tst_gatewayrequests.cpp
+++ b/tests/auto/gateway/tst_gatewayrequests.cpp
@@ -16,7 +16,7 @@
     return world.press(0).requestCount() + world.press(1).requestCount();
 }
 
-/// What the node says of its memory.
+/// Returns the resident memory that the node reports in its metrics.
 std::size_t residentBytes(const gateway_node& node)
 {
     http_question question;
@@ -28,7 +28,7 @@
     return at == std::string::npos ? 0 : static_cast<std::size_t>(std::stod(text.substr(at + name.size())));
 }
 
-/// A caller's connection of which the test writes every byte.
+/// A caller's connection on which the test writes each byte itself.
 class raw_caller {
 public:
     explicit raw_caller(const gateway_node& node)
@@ -45,7 +45,7 @@
         boost::asio::read(m_socket, boost::asio::dynamic_buffer(bytes), ended);
         return bytes;
     }
-    /// Reads so many bytes, or fewer if the connection ends.
+    /// Reads `count` bytes, or fewer if the connection ends.
     std::size_t readSome(std::size_t count)
     {
         std::string bytes(count, '\0');
@@ -61,12 +61,12 @@
 
 } // namespace
 
-// What callers and backend servers see of single requests through one node.
+// The behaviour of one node towards callers and backend servers, for single requests.
 BOOST_AUTO_TEST_SUITE(gateway_requests)
 
-// A payment reaches one replica, once, under the name of the workspace that holds its key. The replica must
-// not learn the key, must be the one that was meant, and gets no more time than the caller has.
-BOOST_FIXTURE_TEST_CASE(a_request_reaches_its_replica_and_comes_back, ready_world)
+// A payment reaches one replica, once, with the name of the workspace that owns its API key. The replica must
+// not get the key, must be the instance that was addressed, and gets no more time than the caller has.
+BOOST_FIXTURE_TEST_CASE(a_request_reaches_its_replica_and_its_response_the_caller, ready_world)
 {
     auto question = this->question("POST", "/pay/order", "amount=5");
     question.headers["Lycheefront-Tenant"] = "somebody-else";
@@ -99,9 +99,9 @@
     BOOST_TEST(runsOf(*this) == 0u);
 }
 
-// The replica takes a payment and its connection breaks. Whether it was charged is not known, so it is not
-// sent again, and the caller is not told that it has not run.
-BOOST_FIXTURE_TEST_CASE(a_payment_that_was_cut_is_not_sent_again, ready_world)
+// The replica receives a payment and its connection breaks. Whether the payment was made is unknown, so it is
+// not sent again, and the caller is not told that it has not run.
+BOOST_FIXTURE_TEST_CASE(a_payment_whose_connection_broke_is_not_sent_again, ready_world)
 {
     press(0).act(replica_act::Cut);
     press(1).act(replica_act::Cut);
@@ -110,8 +110,9 @@
     BOOST_TEST(runsOf(*this) == 1u);
 }
 
-// A full replica says that it has not run a payment: the other one runs it, and the caller sees no failure.
-BOOST_FIXTURE_TEST_CASE(a_payment_that_was_not_run_goes_to_the_other_replica, ready_world)
+// A replica with a full queue reports that it has not run a payment: the other replica runs it, and the
+// caller sees no failure.
+BOOST_FIXTURE_TEST_CASE(a_payment_that_was_not_run_is_retried_on_the_other_replica, ready_world)
 {
     press(0).act(replica_act::Shed);
     for (int i = 0; i < 4; ++i) {
@@ -121,9 +122,8 @@
     }
 }
 
-// Every replica says that it has not run the payment: "not run" is true, and the caller learns when to
-// come back.
-BOOST_FIXTURE_TEST_CASE(a_payment_that_nobody_ran_is_refused_with_a_time, ready_world)
+// All replicas report that they have not run the payment: the caller gets "not run" and a time to retry.
+BOOST_FIXTURE_TEST_CASE(a_payment_that_no_replica_ran_is_refused_with_retry_after, ready_world)
 {
     press(0).act(replica_act::Shed);
     press(1).act(replica_act::Shed);
@@ -132,9 +132,9 @@
     BOOST_TEST(reply.headers.contains("Retry-After"));
 }
 
-// A replica says 503 without saying that the payment has not run. Passed on as it is, the status would
-// promise the caller that it has not, and the caller would pay again.
-BOOST_FIXTURE_TEST_CASE(a_503_without_the_mark_is_no_promise, ready_world)
+// A replica returns 503 without the header for "not executed". Forwarded unchanged, the status would tell the
+// caller that the payment has not run, and the caller would pay again.
+BOOST_FIXTURE_TEST_CASE(a_503_without_not_executed_header_is_not_forwarded, ready_world)
 {
     press(0).act(replica_act::ShedUnmarked);
     press(1).act(replica_act::ShedUnmarked);
@@ -144,8 +144,8 @@
     BOOST_TEST(runsOf(*this) == 1u);
 }
 
-// A lookup fails at one replica: it may run again, so the other one answers.
-BOOST_FIXTURE_TEST_CASE(a_lookup_that_failed_is_repeated, ready_world)
+// A lookup fails on one replica. It may run again, so the other replica serves it.
+BOOST_FIXTURE_TEST_CASE(a_failed_lookup_is_retried, ready_world)
 {
     press(0).act(replica_act::Fail);
     for (int i = 0; i < 2; ++i) {
@@ -155,8 +155,9 @@
     }
 }
 
-// Both replicas fail a lookup: the caller gets the failure of one of them, with its mark, unchanged.
-BOOST_FIXTURE_TEST_CASE(a_failure_of_all_is_passed_on_unchanged, ready_world)
+// Both replicas fail a lookup: the caller gets the error response of one of them, with its signature,
+// unchanged.
+BOOST_FIXTURE_TEST_CASE(an_error_of_all_replicas_is_forwarded_unchanged, ready_world)
 {
     press(0).act(replica_act::Fail);
     press(1).act(replica_act::Fail);
@@ -166,13 +167,13 @@
     BOOST_TEST(reply.body.starts_with("failed at press-"));
 }
 
-// One replica fails a lookup, the other hangs until the caller's time is over. The failure is a ready answer:
-// the caller must get it, with its mark, and not be told that the time was over.
-BOOST_FIXTURE_TEST_CASE(a_failure_is_delivered_though_the_second_attempt_hangs, ready_world)
+// One replica fails a lookup, the other one hangs until the deadline of the caller. The caller must get the
+// error response with its signature, not a timeout.
+BOOST_FIXTURE_TEST_CASE(an_error_is_forwarded_when_the_second_attempt_hangs, ready_world)
 {
     auto question = this->question("GET", "/look/1");
     question.headers["Lycheefront-Deadline-Ms"] = "400";
-    // The two orders: whichever replica is asked first, one of the two lookups fails before it hangs.
+    // Both orders: whichever replica is tried first, one of the two lookups fails before it hangs.
     unsigned failures = 0;
     for (std::size_t failing = 0; failing < 2; ++failing) {
         press(failing).act(replica_act::Fail);
@@ -182,9 +183,9 @@
             const std::size_t hungBefore = press(1 - failing).requestCount();
             const std::size_t failedBefore = press(failing).requestCount();
             const http_reply reply = ask(node(0), question);
-            const bool isBoth = press(1 - failing).requestCount() > hungBefore
+            const bool hasReachedBoth = press(1 - failing).requestCount() > hungBefore
                 && press(failing).requestCount() > failedBefore;
-            if (!isBoth)
+            if (!hasReachedBoth)
                 continue;
             ++failures;
             BOOST_TEST(reply.status == 500);
@@ -194,8 +195,8 @@
     BOOST_TEST(failures > 0u);
 }
 
-// The answer to somebody else's request comes first on the connection; then the own one.
-BOOST_FIXTURE_TEST_CASE(an_answer_to_another_request_is_skipped, ready_world)
+// The response to another request comes first on the connection, then the right one.
+BOOST_FIXTURE_TEST_CASE(a_response_to_another_request_is_skipped, ready_world)
 {
     press(0).act(replica_act::ExtraAnswer);
     press(1).act(replica_act::ExtraAnswer);
@@ -204,14 +205,14 @@
     BOOST_TEST(reply.body.starts_with("press-"));
 }
 
-BOOST_FIXTURE_TEST_CASE(a_success_without_the_mark_is_none, ready_world)
+BOOST_FIXTURE_TEST_CASE(a_success_without_signature_is_rejected, ready_world)
 {
     press(0).act(replica_act::Unsigned);
     press(1).act(replica_act::Unsigned);
     BOOST_TEST(ask(node(0), question("POST", "/pay/order", "amount=5")).status == 502);
 }
 
-BOOST_FIXTURE_TEST_CASE(an_answer_that_ends_with_its_connection_is_whole, ready_world)
+BOOST_FIXTURE_TEST_CASE(a_response_that_ends_with_its_connection_is_complete, ready_world)
 {
     press(0).act(replica_act::Unframed);
     press(1).act(replica_act::Unframed);
@@ -221,9 +222,9 @@
     BOOST_TEST(reply.body.starts_with("press-"));
 }
 
-// An engine dies in the middle of the third event. The half event must not reach the caller, and the other
-// engine goes on after the second: five events, each once, in one whole answer.
-BOOST_FIXTURE_TEST_CASE(a_stream_goes_on_elsewhere_without_gap_or_repeat, ready_world)
+// An engine fails in the middle of the third event. The partial event must not reach the caller, and the
+// other engine resumes after the second event: five events, each once, in one complete response.
+BOOST_FIXTURE_TEST_CASE(a_stream_resumes_on_another_engine_without_gap_or_repeat, ready_world)
 {
     engine(0).act(replica_act::StreamCutOnce);
     engine(1).act(replica_act::StreamCutOnce);
@@ -238,8 +239,8 @@
     BOOST_TEST(resumed.requests().front().headers.at("last-event-id") == "2");
 }
 
-// A stream that may not be resumed breaks off: the caller must see that it is not whole.
-BOOST_FIXTURE_TEST_CASE(a_broken_stream_does_not_look_whole, ready_world)
+// A stream that cannot be resumed breaks: the caller must see that it is incomplete.
+BOOST_FIXTURE_TEST_CASE(a_broken_stream_does_not_look_complete, ready_world)
 {
     engine(0).act(replica_act::StreamCut);
     engine(1).act(replica_act::StreamCut);
@@ -250,8 +251,8 @@
     BOOST_TEST(engine(0).requestCount() + engine(1).requestCount() == 1u);
 }
 
-// A caller leaves while its request runs: the replica is told at once by the end of its connection.
-BOOST_FIXTURE_TEST_CASE(the_replica_learns_that_the_caller_left, ready_world)
+// A caller leaves while its request runs: the node closes the connection to the replica at once.
+BOOST_FIXTURE_TEST_CASE(the_replica_is_disconnected_when_the_caller_leaves, ready_world)
 {
     press(0).act(replica_act::Hang);
     press(1).act(replica_act::Hang);
@@ -263,9 +264,9 @@
     BOOST_TEST(waitUntil([&] { return press(0).abandoned() + press(1).abandoned() == 1; }));
 }
 
-// A request with a length and a transfer coding is one request for this node and perhaps two for a
-// replica: nothing of it goes on, and the connection ends.
-BOOST_FIXTURE_TEST_CASE(a_request_with_two_lengths_goes_nowhere, ready_world)
+// A request with both Content-Length and Transfer-Encoding is one request for this node and maybe two for a
+// replica: nothing of it is forwarded, and the connection is closed.
+BOOST_FIXTURE_TEST_CASE(a_request_with_two_lengths_is_not_forwarded, ready_world)
 {
     raw_caller caller(node(0));
     caller.write("POST /pay/1 HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Token key-1\r\n"
@@ -286,29 +287,29 @@
     BOOST_TEST(runsOf(*this) == 0u);
 }
 
-// A server answers a lookup with a body that never ends. Held until it was whole, it took all memory of the
-// node, which the platform then ended, with the requests of all other callers. What is too long to be held
-// goes on as it comes, as fast as the caller reads, and the node stays small.
-BOOST_FIXTURE_TEST_CASE(an_answer_that_is_too_long_to_hold_goes_on_as_it_comes, ready_world)
+// Guards against a response body that never ends: buffered until its end, it used up the memory of the node,
+// and the platform ended the process with the requests of all other callers. A response that is too large to
+// buffer is forwarded as it arrives, at the speed of the caller, and the memory of the node stays small.
+BOOST_FIXTURE_TEST_CASE(a_response_too_large_to_buffer_is_forwarded_as_it_arrives, ready_world)
 {
-    constexpr std::size_t much = 64U << 20U;
-    constexpr std::size_t most = 48U << 20U;
+    constexpr std::size_t readBytes = 64U << 20U;
+    constexpr std::size_t maxResidentBytes = 48U << 20U;
     press(0).act(replica_act::Endless);
     press(1).act(replica_act::Endless);
     raw_caller caller(node(0));
     caller.write("GET /look/1 HTTP/1.1\r\nHost: shop.example\r\nAuthorization: Token key-1\r\n"
                  "Lycheefront-Attempt-Id: long\r\nLycheefront-Deadline-Ms: 60000\r\n\r\n");
-    BOOST_TEST(caller.readSome(much) == much);
+    BOOST_TEST(caller.readSome(readBytes) == readBytes);
     BOOST_TEST(residentBytes(node(0)) > 0u);
-    BOOST_TEST(residentBytes(node(0)) < most);
+    BOOST_TEST(residentBytes(node(0)) < maxResidentBytes);
     caller.close();
     BOOST_TEST(ask(node(0), question("POST", "/chat/1", "hi")).status == 200);
 }
 
-// An engine sends an event that never ends. Nothing of it can go on, since the caller must get whole events;
-// kept for as long as the route allows, it took all memory of the node. The attempt ends when the event is
-// longer than any, and the caller is told at once.
-BOOST_FIXTURE_TEST_CASE(an_event_without_end_is_given_up, ready_world)
+// Guards against an event that never ends. None of it can be forwarded, since the caller must get whole
+// events; buffered until the timeout of the route, it used up the memory of the node. The attempt ends when
+// the event exceeds the size limit, and the caller gets an error at once.
+BOOST_FIXTURE_TEST_CASE(an_endless_event_ends_the_attempt, ready_world)
 {
     engine(0).act(replica_act::Endless);
     engine(1).act(replica_act::Endless);
--- a/tests/auto/gateway/tst_headcheck.cpp
+++ b/tests/auto/gateway/tst_headcheck.cpp
@@ -26,9 +26,9 @@
     BOOST_TEST(faultOf("host: a\r\nTransfer-Encoding: chunked\r\nX: 1\r\nX: 2\r\n") == head_fault::None);
 }
 
-// Two parsers disagree about where such a request ends, and what the first takes for a body the second
-// takes for a request that no caller sent.
-BOOST_AUTO_TEST_CASE(heads_that_two_parsers_read_in_two_ways_do_not_pass)
+// Two parsers disagree about the end of such a request: the second parser takes a part of the body for a
+// request that no caller sent (request smuggling).
+BOOST_AUTO_TEST_CASE(ambiguous_heads_are_rejected)
 {
     BOOST_TEST(
         faultOf("Host: a\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n") == head_fault::TwoLengths);
--- a/tests/auto/gateway/tst_httpcaller.cpp
+++ b/tests/auto/gateway/tst_httpcaller.cpp
@@ -21,12 +21,12 @@
 
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-/// Answers one call in pieces with a pause before each.
+/// A server that responds to one call in pieces, with a pause before each.
 struct slow_server {
     asio::io_context io;
     tcp::acceptor acceptor { io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0) };
-    gateway::http_client caller { io.get_executor(), acceptor.local_endpoint() };
-    std::optional<gateway::call_response> answer;
+    gateway::http_client client { io.get_executor(), acceptor.local_endpoint() };
+    std::optional<gateway::call_response> response;
 
     asio::awaitable<void> serve(int pieces, int sent, utils::duration pause)
     {
@@ -45,19 +45,19 @@
             bytes = "x";
         }
         co_await asio::async_write(socket, asio::buffer(bytes), asTuple);
-        // Keeps the connection until the caller closes it.
+        // Keeps the connection open until the client closes it.
         co_await socket.async_read_some(asio::buffer(bytes), asTuple);
     }
 
-    /// Calls with that timeout; the server sends `sent` of the pieces.
-    void play(int pieces, int sent, utils::duration pause, utils::duration timeout)
+    /// Makes a call with `timeout`; the server sends `sent` of the `pieces`.
+    void run(int pieces, int sent, utils::duration pause, utils::duration timeout)
     {
         asio::co_spawn(io, serve(pieces, sent, pause), asio::detached);
         asio::co_spawn(
             io,
             [&, timeout]() -> asio::awaitable<void> {
-                answer = co_await caller.call(gateway::call_request::get("/"), timeout);
-                caller.close();
+                response = co_await client.call(gateway::call_request::get("/"), timeout);
+                client.close();
             },
             asio::detached);
         io.run();
@@ -66,25 +66,25 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_SUITE(caller_of_the_store)
+BOOST_AUTO_TEST_SUITE(http_client_of_the_store)
 
-// Guards against a large answer that is given up while its bytes arrive: over a slow link a configuration of
-// several hundred kilobytes never came, however often it was asked for.
-BOOST_FIXTURE_TEST_CASE(an_answer_that_keeps_arriving_is_not_given_up, slow_server)
+// Guards against a timeout while the bytes of a large response arrive: over a slow link a configuration of
+// several hundred kilobytes never arrived, however often it was requested.
+BOOST_FIXTURE_TEST_CASE(a_response_that_keeps_arriving_does_not_time_out, slow_server)
 {
-    play(20, 20, 10ms, 100ms);
-    BOOST_REQUIRE(answer.has_value());
-    BOOST_TEST(answer->body == std::string(20, 'x'));
+    run(20, 20, 10ms, 100ms);
+    BOOST_REQUIRE(response.has_value());
+    BOOST_TEST(response->body == std::string(20, 'x'));
 }
 
-// Guards against a node that waits for a configuration from a store that tells it nothing: what arrived last
-// belongs to the call before.
-BOOST_AUTO_TEST_CASE(an_earlier_answer_is_not_taken_for_one_that_arrives)
+// Guards against a node that waits for a configuration from a store that sends nothing: the bytes that
+// arrived last belong to the previous call.
+BOOST_AUTO_TEST_CASE(an_earlier_response_does_not_count_as_arriving)
 {
     slow_server server;
     const auto connected = [&]() -> asio::awaitable<void> {
-        co_await server.caller.call(gateway::call_request::get("/"), 10s);
-        co_await server.caller.call(gateway::call_request::get("/"), 10s);
+        co_await server.client.call(gateway::call_request::get("/"), 10s);
+        co_await server.client.call(gateway::call_request::get("/"), 10s);
     };
     asio::co_spawn(server.io, connected(), asio::detached);
     std::optional<tcp::socket> socket;
@@ -95,12 +95,12 @@
             socket.emplace(std::move(accepted));
             std::string request;
             co_await asio::async_read_until(*socket, asio::dynamic_buffer(request), "\r\n\r\n", asTuple);
-            const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
-            co_await asio::async_write(*socket, asio::buffer(answer), asTuple);
+            const std::string response = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
+            co_await asio::async_write(*socket, asio::buffer(response), asTuple);
             request.clear();
             co_await asio::async_read_until(*socket, asio::dynamic_buffer(request), "\r\n\r\n", asTuple);
-            BOOST_TEST(!server.caller.isReceiving(gateway::now()));
-            co_await asio::async_write(*socket, asio::buffer(answer, answer.size() - 1), asTuple);
+            BOOST_TEST(!server.client.isReceiving(gateway::now()));
+            co_await asio::async_write(*socket, asio::buffer(response, response.size() - 1), asTuple);
             co_await asio::post(server.io, asio::use_awaitable);
             socket->close();
         },
@@ -108,10 +108,10 @@
     server.io.run();
 }
 
-BOOST_FIXTURE_TEST_CASE(an_answer_that_stops_arriving_is_given_up, slow_server)
+BOOST_FIXTURE_TEST_CASE(a_response_that_stops_arriving_times_out, slow_server)
 {
-    play(20, 3, 1ms, 100ms);
-    BOOST_TEST(!answer.has_value());
+    run(20, 3, 1ms, 100ms);
+    BOOST_TEST(!response.has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/gateway/tst_httpconnection.cpp
+++ b/tests/auto/gateway/tst_httpconnection.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-/// A connection to a server that reads nothing until it is told to, over a socket with little room.
+/// A connection to a server that reads nothing until the test makes it, over a socket with small buffers.
 struct full_connection {
-    static constexpr std::size_t bodySize = 65536; // bytes; fits into the kernel of the sender alone
+    static constexpr std::size_t bodySize = 65536; // fits into the sender's kernel buffers alone
 
     asio::io_context io;
     tcp::acceptor acceptor { io };
@@ -48,7 +48,7 @@
         io.poll();
     }
 
-    /// Bytes that reach the server from now on.
+    /// Returns the number of bytes that reach the server from now on.
     std::size_t arriving()
     {
         std::string bytes;
@@ -61,16 +61,16 @@
 
 BOOST_AUTO_TEST_SUITE(connection_to_a_server)
 
-BOOST_FIXTURE_TEST_CASE(a_connection_that_is_closed_delivers_what_was_sent, full_connection)
+BOOST_FIXTURE_TEST_CASE(a_closed_connection_delivers_what_was_sent, full_connection)
 {
     send();
     connection->close();
     BOOST_TEST(arriving() > bodySize);
 }
 
-// Guards against a request that reaches a server long after its caller was told that it is given up: its
-// bytes lay in the kernel behind a full link.
-BOOST_FIXTURE_TEST_CASE(a_request_that_is_given_up_is_not_delivered_any_more, full_connection)
+// Guards against a request that reaches a server long after the node gave it up and told its caller so: its
+// bytes were queued in the kernel behind a saturated link.
+BOOST_FIXTURE_TEST_CASE(an_aborted_request_is_not_delivered, full_connection)
 {
     auto scope = std::make_shared<gateway::stop_scope>(io.get_executor());
     scope->setConnection(connection);
@@ -79,9 +79,9 @@
     BOOST_TEST(arriving() < bodySize);
 }
 
-// Guards against bytes that go out after the deadline: after the process stood still, its timers and sockets
-// become ready in any order.
-BOOST_FIXTURE_TEST_CASE(a_deadline_holds_before_its_timer_has_fired, full_connection)
+// Guards against bytes that are sent after the deadline: after the process was suspended, its timers and
+// sockets become ready in any order.
+BOOST_FIXTURE_TEST_CASE(a_deadline_applies_before_its_timer_has_fired, full_connection)
 {
     const utils::time_point start = utils::time_point {} + 1h;
     auto scope = std::make_shared<gateway::stop_scope>(io.get_executor());
