--- a/tests/auto/platform/tst_decoders.cpp
+++ b/tests/auto/platform/tst_decoders.cpp
@@ -24,7 +24,7 @@
     return text.replace(text.find(what), what.size(), with);
 }
 
-/// Empty when it could be read.
+/// Returns the failure's detail, empty if the configuration was decoded.
 std::string problemOf(const std::string& bytes)
 {
     return utils::valueOr(
@@ -49,7 +49,7 @@
 
 BOOST_AUTO_TEST_SUITE(decoders)
 
-BOOST_AUTO_TEST_CASE(a_configuration_is_read_whole)
+BOOST_AUTO_TEST_CASE(configuration_is_decoded_completely)
 {
     const auto configuration = utils::valueOr([] { return platform::decodeConfiguration(document); },
         [](const utils::failure&) { return catalogue::configuration_ptr(); });
@@ -71,9 +71,9 @@
     BOOST_TEST(configuration->needsKeys);
 }
 
-// Guards against urgent and less urgent work of a workspace looking the same where the workspace has a
-// priority of its own: engines and refusals then treat all of it alike.
-BOOST_AUTO_TEST_CASE(the_route_tells_urgencies_within_a_workspace_apart)
+// Guards against all requests of a workspace with its own priority getting the same urgency: engines and load
+// shedding then treat its urgent and less urgent requests alike.
+BOOST_AUTO_TEST_CASE(route_priority_orders_requests_within_workspace)
 {
     catalogue::configuration configuration;
     for (const int priority : { 0, 1, 2 }) {
@@ -96,8 +96,8 @@
     BOOST_TEST(configuration.urgencyOf(configuration.routes[1], nullptr) == urgency(1, 2));
 }
 
-// A kind that is not known yet must not be repeated by mistake.
-BOOST_AUTO_TEST_CASE(an_unknown_kind_runs_at_most_once)
+// Guards against repeating requests of a kind that this version does not know.
+BOOST_AUTO_TEST_CASE(unknown_kind_runs_at_most_once)
 {
     const auto configuration = utils::valueOr([] { return platform::decodeConfiguration(document); },
         [](const utils::failure&) { return catalogue::configuration_ptr(); });
@@ -105,7 +105,7 @@
     BOOST_TEST(!configuration->routes.at(1).mayRepeat());
 }
 
-BOOST_AUTO_TEST_CASE(what_is_wrong_is_named)
+BOOST_AUTO_TEST_CASE(failure_names_invalid_field)
 {
     BOOST_TEST(problemOf(document).empty());
     BOOST_TEST(problemOf("{").find("JSON") != std::string::npos);
@@ -120,8 +120,8 @@
         != std::string::npos);
 }
 
-// Entries may come from another writer. One without what is needed names no server.
-BOOST_AUTO_TEST_CASE(an_entry_is_a_server_only_when_whole)
+// Other programs may write entries too. One without a required field must not become a server.
+BOOST_AUTO_TEST_CASE(incomplete_entry_is_rejected)
 {
     const std::string entry
         = R"({"backend":"e","address":"10.0.0.9:80","zone":"a","slots":64,"state":"ready","born":1700})";
@@ -138,7 +138,7 @@
     BOOST_TEST(!serverOf("").has_value());
 }
 
-BOOST_AUTO_TEST_CASE(answers_of_the_store_are_read_or_called_unreadable)
+BOOST_AUTO_TEST_CASE(store_answers_are_decoded_or_unreadable)
 {
     const auto page = platform::decodeRange(
         R"({"items":[{"key":"op/config","value":"bm9kZS0x","revision":412,"createRev":4,"lease":0}],"hasMore":true,"asOf":530})");
--- a/tests/auto/platform/tst_nodesettings.cpp
+++ b/tests/auto/platform/tst_nodesettings.cpp
@@ -74,7 +74,7 @@
     BOOST_TEST((options.drainTime == 3s));
 }
 
-BOOST_AUTO_TEST_CASE(what_is_wrong_is_named_with_file_and_field_or_line)
+BOOST_AUTO_TEST_CASE(failure_names_field_or_line)
 {
     BOOST_TEST(problemOf(settings).empty());
     BOOST_TEST(problemOf("node = \n").find(":1:") != std::string::npos);
--- a/tests/auto/platform/tst_requestcodec.cpp
+++ b/tests/auto/platform/tst_requestcodec.cpp
@@ -26,7 +26,7 @@
 
 BOOST_AUTO_TEST_SUITE(request_wire)
 
-BOOST_AUTO_TEST_CASE(a_prompt_is_decoded_into_its_parts)
+BOOST_AUTO_TEST_CASE(prompt_is_decoded_into_parts)
 {
     const auto request
         = request_codec::decodeRequest(headOf({ { "Host", "a.example" }, { "Lycheefront-Attempt-Id", "9c41" },
@@ -43,8 +43,8 @@
     BOOST_TEST(request.prompt[1].tokens == 410u);
 }
 
-// What a caller must not set, what holds a secret, and what concerns its connection alone, stays here.
-BOOST_AUTO_TEST_CASE(only_what_concerns_the_server_goes_on)
+// Guards against forwarding reserved headers set by a caller, its API key, and hop-by-hop headers.
+BOOST_AUTO_TEST_CASE(reserved_secret_and_hop_by_hop_headers_are_not_forwarded)
 {
     const auto request = request_codec::decodeRequest(headOf({ { "Host", "a.example" },
         { "Authorization", "Token secret" }, { "Connection", "keep-alive, X-Mine" }, { "X-Mine", "1" },
@@ -73,7 +73,7 @@
         BOOST_TEST(head.find(gone) == std::string::npos, gone);
 }
 
-BOOST_AUTO_TEST_CASE(numbers_that_are_none_count_as_absent)
+BOOST_AUTO_TEST_CASE(malformed_numbers_count_as_absent)
 {
     const auto request = request_codec::decodeRequest(headOf({ { "Lycheefront-Deadline-Ms", "-5" },
         { "Last-Event-Id", "twelve" }, { "Lycheefront-Token-Usage", "many" },
@@ -86,7 +86,7 @@
     BOOST_TEST(request.key.empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_tells_what_it_is)
+BOOST_AUTO_TEST_CASE(answer_head_is_decoded)
 {
     request_codec::answer_head head;
     head.result(200);
@@ -103,7 +103,7 @@
     BOOST_TEST(answer.passedOn.size() == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(only_the_mark_and_421_say_not_run)
+BOOST_AUTO_TEST_CASE(only_not_executed_header_and_421_mean_not_run)
 {
     request_codec::answer_head head;
     head.result(503);
