--- a/src/libs/catalogue/backendserver.h
+++ b/src/libs/catalogue/backendserver.h
@@ -7,16 +7,16 @@
 
 namespace catalogue {
 
-/// What a backend server says of itself.
+/// The entry that a backend server registers in the store.
 struct backend_server {
     utils::server_id id;
-    std::string service;
+    std::string service; ///< name of the service that it belongs to
     std::string address; ///< "ip:port"
     std::string dataCentre;
-    unsigned slots = 1; ///< requests that it runs at once
-    bool isDraining = false; ///< takes nothing new
-    std::uint64_t startedAtMs = 0; ///< Unix milliseconds of its start: tells two lives under one id apart
-    std::uint64_t revision = 0; ///< of the entry
+    unsigned slots = 1; ///< requests that it runs concurrently
+    bool isDraining = false; ///< takes no new requests
+    std::uint64_t startedAtMs = 0; ///< Unix milliseconds; distinguishes restarts under one id
+    std::uint64_t revision = 0; ///< of the entry in the store
 };
 
 } // namespace catalogue
--- a/src/libs/catalogue/configuration.cpp
+++ b/src/libs/catalogue/configuration.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr char hostSeparator = '\n'; // cannot stand in a host
+constexpr char hostSeparator = '\n'; // cannot occur in a host name
 
 std::string indexKey(std::string_view host, std::string_view prefix)
 {
@@ -34,44 +34,45 @@
     buildUrgencies();
 }
 
-configuration::priority_pair configuration::prioritiesOf(const route& route, const workspace* workspace)
+configuration::priority_pair configuration::priorityPair(const route& route, const workspace* workspace)
 {
-    const int first = workspace == nullptr ? route.priority : workspace->priority.value_or(route.priority);
-    return { first, route.priority };
+    const int effective
+        = workspace == nullptr ? route.priority : workspace->priority.value_or(route.priority);
+    return { effective, route.priority };
 }
 
 void configuration::buildUrgencies()
 {
-    // A few values each, while there are thousands of routes and workspaces.
-    std::set<int> ofRoutes;
+    // Thousands of routes and workspaces share a few priorities, so only distinct ones are combined.
+    std::set<int> routePriorities;
     for (const route& route : routes)
-        ofRoutes.insert(route.priority);
-    std::set<std::optional<int>> ofWorkspaces { std::nullopt };
+        routePriorities.insert(route.priority);
+    std::set<std::optional<int>> workspacePriorities { std::nullopt };
     for (const workspace& workspace : workspaces)
-        ofWorkspaces.insert(workspace.priority);
-    m_urgencies.clear();
-    for (const int ofRoute : ofRoutes) {
-        for (const std::optional<int> ofWorkspace : ofWorkspaces)
-            m_urgencies[{ ofWorkspace.value_or(ofRoute), ofRoute }] = 0;
+        workspacePriorities.insert(workspace.priority);
+    m_urgencyByPriorities.clear();
+    for (const int routePriority : routePriorities) {
+        for (const std::optional<int> workspacePriority : workspacePriorities)
+            m_urgencyByPriorities[{ workspacePriority.value_or(routePriority), routePriority }] = 0;
     }
-    const std::size_t size = m_urgencies.size();
-    std::size_t place = 0;
-    for (auto& [pair, urgency] : m_urgencies) {
-        const bool hasRoom = size <= urgencyLevels;
-        urgency = static_cast<int>(hasRoom ? place : place * urgencyLevels / size);
-        ++place;
+    const std::size_t size = m_urgencyByPriorities.size();
+    std::size_t rank = 0;
+    for (auto& [pair, urgency] : m_urgencyByPriorities) {
+        const bool fitsLevels = size <= urgencyLevels;
+        urgency = static_cast<int>(fitsLevels ? rank : rank * urgencyLevels / size);
+        ++rank;
     }
 }
 
 int configuration::urgencyOf(const route& route, const workspace* workspace) const
 {
-    return m_urgencies.at(prioritiesOf(route, workspace));
+    return m_urgencyByPriorities.at(priorityPair(route, workspace));
 }
 
 const route* configuration::findRoute(std::string_view host, std::string_view path) const
 {
-    // Prefixes end with a slash, so only the path's own slashes are looked up: a thousand routes cost
-    // as little as ten.
+    // Prefixes end with a slash, so one lookup per slash of the path is enough: a thousand routes cost no
+    // more than ten.
     path = path.substr(0, path.find('?'));
     for (std::size_t end = path.rfind('/'); end != std::string_view::npos; end = path.rfind('/', end - 1)) {
         const auto found = m_routeIndex.find(indexKey(host, path.substr(0, end + 1)));
--- a/src/libs/catalogue/serverdirectory.h
+++ b/src/libs/catalogue/serverdirectory.h
@@ -11,12 +11,12 @@
 
 namespace catalogue {
 
-/// The backend servers that this node may send to.
+/// The backend servers that this node may send requests to.
 ///
-/// Entries are leases in the store. While the store is away they may lapse although their servers live, so
-/// an entry that goes missing within `settleTime` of the store's return is used on until that time is over:
-/// without this every request fails for two seconds after each outage. After it, missing means gone.
-/// Not thread safe.
+/// Entries are leases in the store. During an outage of the store leases may lapse although their servers are
+/// alive. An entry that goes missing during the outage or within `settleTime` of its end therefore stays in
+/// use until that time is over; without this, every request fails for two seconds after each outage. At all
+/// other times a missing entry means that the server is gone. Not thread safe.
 class server_directory {
 public:
     explicit server_directory(utils::duration settleTime)
@@ -24,47 +24,50 @@
     {
     }
 
-    /// An entry was written. An unusable entry is passed as nothing: it names no server, but it ends the one
-    /// that had the id.
+    /// Takes a written entry. Pass std::nullopt for an invalid one: it removes the server of that id as
+    /// remove() does.
     void put(const utils::server_id& id, std::optional<backend_server> entry, utils::time_point now);
-    /// An entry was removed. `isAuthoritative`: a node that the store serves and that has settled says so;
-    /// the entry did not lapse for an outage then.
+    /// Takes the removal of an entry. `isAuthoritative`: the removal is reported by a node that the store
+    /// serves and that has settled, so the lease did not lapse because of an outage.
     void remove(const utils::server_id& id, utils::time_point now, bool isAuthoritative = false);
-    /// Replaces everything by what the store holds now; `isAuthoritative` as above.
+    /// Replaces all entries by the present content of the store; `isAuthoritative` as for remove().
     void replaceAll(
         const std::vector<backend_server>& entries, utils::time_point now, bool isAuthoritative = false);
-    /// Whether entries that go missing now may have lapsed for an outage.
+    /// Whether an entry that goes missing now may have lapsed because of an outage.
     bool isSettling(utils::time_point now) const;
-    /// For how long they may, as far as is known; zero when settled.
+    /// Time until isSettling() ends, zero once it has. The full settle time while the store is unreachable.
     utils::duration remainingSettleTime(utils::time_point now) const;
-    /// A node that the store serves says that entries may be missing for that long yet.
+    /// Extends settling to `time` from now, at most the settle time: a node that the store serves reports
+    /// that entries may still be missing.
     void extendSettling(utils::duration time, utils::time_point now);
-    /// The store is away, or back.
+    /// Takes a change in whether the store can be reached. The settle time starts when it is back.
     void setStoreReachable(bool isReachable, utils::time_point now);
-    /// The server itself said that it is another one: not used until its entry changes.
+    /// Marks a server at whose address another one has answered that it is not this server. It gets no
+    /// requests until its entry shows a restart or another address.
     void markIdentityMismatch(const utils::server_id& id);
-    /// Drops what did not come back in time.
+    /// Removes lapsed entries that were not renewed in time.
     void expire(utils::time_point now);
 
-    /// Whether new requests may go there; to be asked right before bytes go out.
+    /// Whether the server may get new requests; check it right before sending.
     bool isUsable(const utils::server_id& id) const;
-    /// Null when unknown.
+    /// Returns the server; null if it is unknown.
     const backend_server* find(const utils::server_id& id) const;
-    /// The usable servers of a service, by id.
+    /// Returns the servers of a service that may get new requests, ordered by id.
     std::vector<const backend_server*> usable(const std::string& service) const;
-    /// All servers of a service that have not gone, those that drain too, by id.
+    /// Returns the servers of a service with a current entry, including draining ones, ordered by id.
     std::vector<const backend_server*> present(const std::string& service) const;
+    /// Number of entries, including draining and lapsed ones.
     std::size_t size() const { return m_entries.size(); }
-    /// Servers whose entries went missing and may come back.
+    /// Returns the servers whose entries are missing but may be renewed.
     std::vector<utils::server_id> lapsed() const;
-    /// Servers that take requests.
+    /// Number of servers that may get new requests.
     std::size_t usableCount() const;
 
 private:
     struct entry_state {
         backend_server server;
         bool hasIdentityMismatch = false;
-        std::optional<utils::time_point> expiresAt; ///< lapsed, and gone for good then
+        std::optional<utils::time_point> expiresAt; ///< set once the entry is missing: when it is removed
     };
 
     utils::duration m_settleTime;
--- a/tests/auto/catalogue/tst_configuration.cpp
+++ b/tests/auto/catalogue/tst_configuration.cpp
@@ -28,8 +28,8 @@
 
 BOOST_AUTO_TEST_SUITE(configuration)
 
-// 10,000 tokens of 18,432 bytes over 130 Gbit/s.
-BOOST_AUTO_TEST_CASE(engines_that_tell_their_link_copy)
+// 10,000 tokens of 18,432 bytes each over 130 Gbit/s.
+BOOST_AUTO_TEST_CASE(copy_time_needs_cache_size_and_bandwidth)
 {
     catalogue::engine_traits traits;
     BOOST_TEST(!traits.copyTime(10000).has_value());
@@ -39,7 +39,7 @@
     BOOST_TEST(traits.copyTime(10000)->count() == 11342);
 }
 
-BOOST_AUTO_TEST_CASE(the_longest_prefix_wins)
+BOOST_AUTO_TEST_CASE(longest_prefix_matches)
 {
     const auto configuration = withPrefixes({ "/a/", "/a/b/", "/c/" });
     BOOST_TEST(found(configuration, "/a/x") == "/a/");
@@ -52,14 +52,14 @@
     BOOST_TEST(found(configuration, "/ab/x").empty());
 }
 
-// A query may hold slashes that would be taken for a part of the path.
-BOOST_AUTO_TEST_CASE(a_query_is_no_path)
+// Guards against slashes in the query being taken for a part of the path.
+BOOST_AUTO_TEST_CASE(query_is_not_matched)
 {
     const auto configuration = withPrefixes({ "/a/", "/a/b?/c/" });
     BOOST_TEST(found(configuration, "/a/b?/c/d") == "/a/");
 }
 
-BOOST_AUTO_TEST_CASE(a_prefix_of_everything_and_other_hosts)
+BOOST_AUTO_TEST_CASE(root_prefix_matches_one_host_only)
 {
     const auto configuration = withPrefixes({ "/" });
     BOOST_TEST(found(configuration, "/x/y") == "/");
--- a/tests/auto/catalogue/tst_serverdirectory.cpp
+++ b/tests/auto/catalogue/tst_serverdirectory.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr utils::duration settle = 2s;
+constexpr utils::duration settleTime = 2s;
 
 utils::time_point at(utils::duration since)
 {
@@ -28,7 +28,7 @@
 }
 
 struct directory_fixture {
-    server_directory directory { settle };
+    server_directory directory { settleTime };
     server_id a { "a" };
 
     directory_fixture() { directory.put(a, serverOf("a"), at(0s)); }
@@ -38,15 +38,15 @@
 
 BOOST_AUTO_TEST_SUITE(directory)
 
-BOOST_FIXTURE_TEST_CASE(a_removed_server_is_gone_at_once_while_the_store_is_well, directory_fixture)
+BOOST_FIXTURE_TEST_CASE(removed_server_is_unusable_at_once_while_store_is_reachable, directory_fixture)
 {
     directory.remove(a, at(1s));
     BOOST_TEST(!directory.isUsable(a));
 }
 
-// Leases run out while the store is away, and the servers live. After its return the entries come back
-// within two seconds; until then requests go on to them, and one that does not come back is gone.
-BOOST_FIXTURE_TEST_CASE(entries_that_lapse_in_an_outage_are_kept_until_it_is_settled, directory_fixture)
+// During an outage of the store leases lapse although the servers are alive; the entries are renewed within
+// two seconds of its end. Until then the servers must stay in use; one that is not renewed is removed.
+BOOST_FIXTURE_TEST_CASE(entries_lapsed_in_outage_are_kept_while_settling, directory_fixture)
 {
     const server_id b("b");
     directory.put(b, serverOf("b"), at(0s));
@@ -65,8 +65,8 @@
     BOOST_TEST(directory.isUsable(b));
 }
 
-// A server that had said that it drains does not come back to use by an outage.
-BOOST_FIXTURE_TEST_CASE(a_draining_server_is_not_kept, directory_fixture)
+// A draining server must not get requests again because of an outage.
+BOOST_FIXTURE_TEST_CASE(draining_server_is_not_kept, directory_fixture)
 {
     auto draining = serverOf("a", 2);
     draining.isDraining = true;
@@ -77,8 +77,8 @@
     BOOST_TEST(directory.find(a) == nullptr);
 }
 
-// Another server answers at the address: the entry is not used until the server tells of itself anew.
-BOOST_FIXTURE_TEST_CASE(a_disowned_server_comes_back_with_a_new_life_only, directory_fixture)
+// Another server answers at the address of the entry, so the entry is not used until it shows a restart.
+BOOST_FIXTURE_TEST_CASE(identity_mismatch_lasts_until_restart, directory_fixture)
 {
     directory.markIdentityMismatch(a);
     BOOST_TEST(!directory.isUsable(a));
@@ -88,7 +88,7 @@
     BOOST_TEST(directory.isUsable(a));
 }
 
-BOOST_FIXTURE_TEST_CASE(an_unreadable_entry_ends_its_server, directory_fixture)
+BOOST_FIXTURE_TEST_CASE(unreadable_entry_removes_server, directory_fixture)
 {
     directory.put(a, std::nullopt, at(1s));
     BOOST_TEST(!directory.isUsable(a));
