--- a/src/app/lycheefront-gateway/main.cpp
+++ b/src/app/lycheefront-gateway/main.cpp
@@ -16,18 +16,18 @@
 #include <cstdlib>
 #include <iostream>
 
-DEFINE_string(settings, "", "path of the settings file; default: that of the environment");
-DEFINE_int32(metrics_port, 0, "port on which the metrics are served; 0: none");
-DEFINE_bool(check, false, "check the settings, print what is wrong, and end");
+DEFINE_string(settings, "", "path of the settings file; default: from the environment");
+DEFINE_int32(metrics_port, 0, "port that serves the metrics; 0: none");
+DEFINE_bool(check, false, "check the settings, log any error, and exit");
 
 namespace {
 
 using gateway_node
     = gateway::node<platform::request_codec, platform::catalogue_codec, platform::store_client>;
 
-constexpr int usageError = 2;
-constexpr int listenError = 3;
-constexpr int largestPort = 65535;
+constexpr int usageExitCode = 2;
+constexpr int listenExitCode = 3;
+constexpr int maxPort = 65535;
 
 std::string settingsPath()
 {
@@ -50,15 +50,15 @@
         });
 }
 
-/// A changed settings file takes effect at the next start; what is wrong with it is told now.
-void awaitReload(boost::asio::signal_set& signals, const std::string& path)
+/// Checks the settings file on SIGHUP. Changes take effect at the next start, errors are logged at once.
+void checkSettingsOnSignal(boost::asio::signal_set& signals, const std::string& path)
 {
     signals.async_wait([&signals, path](const boost::system::error_code& error, int) {
         if (error)
             return;
         if (readSettings(path))
             utils::logEvent(utils::event::SettingsRead, { { "path", path } });
-        awaitReload(signals, path);
+        checkSettingsOnSignal(signals, path);
     });
 }
 
@@ -67,10 +67,10 @@
     options.metricsPort = static_cast<std::uint16_t>(FLAGS_metrics_port);
     boost::asio::io_context io(1);
     gateway_node node(io.get_executor(), options);
-    boost::asio::signal_set reload(io, SIGHUP);
-    awaitReload(reload, path);
-    boost::asio::signal_set end(io, SIGTERM, SIGINT);
-    end.async_wait([&](const boost::system::error_code& error, int) {
+    boost::asio::signal_set reloadSignals(io, SIGHUP);
+    checkSettingsOnSignal(reloadSignals, path);
+    boost::asio::signal_set stopSignals(io, SIGTERM, SIGINT);
+    stopSignals.async_wait([&](const boost::system::error_code& error, int) {
         if (error)
             return;
         utils::logEvent(utils::event::Stopping, { { "node", options.name } });
@@ -80,7 +80,7 @@
         node.start();
     } catch (const boost::system::system_error& problem) {
         utils::logEvent(utils::event::ListenFailed, { { "detail", problem.what() } });
-        return listenError;
+        return listenExitCode;
     }
     utils::logEvent(utils::event::Started, { { "node", options.name } });
     io.run();
@@ -92,24 +92,24 @@
 
 int main(int argc, char** argv)
 {
-    gflags::SetUsageMessage("one node of the fleet on the users' platform");
+    gflags::SetUsageMessage("gateway node for the users' platform");
     gflags::SetVersionString("0.2.0");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     std::signal(SIGPIPE, SIG_IGN);
     utils::configureLog(utils::log_format::Json, utils::severity::Info);
-    if (argc > 1 || FLAGS_metrics_port < 0 || FLAGS_metrics_port > largestPort) {
+    if (argc > 1 || FLAGS_metrics_port < 0 || FLAGS_metrics_port > maxPort) {
         std::cerr << "unknown argument or port out of range; see --help\n";
-        return usageError;
+        return usageExitCode;
     }
     const std::string path = settingsPath();
     if (path.empty()) {
         std::cerr << "no settings: pass --settings or set " << platform::settingsVariable << '\n';
-        return usageError;
+        return usageExitCode;
     }
     const auto options = readSettings(path);
     if (!options) {
         utils::flushLog();
-        return usageError;
+        return usageExitCode;
     }
     const int status = FLAGS_check ? EXIT_SUCCESS : run(*options, path);
     utils::flushLog();
