--- a/src/libs/utils/crypto.cpp
+++ b/src/libs/utils/crypto.cpp
@@ -49,7 +49,7 @@
 {
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()), static_cast<int>(count)) != 1)
-        throw std::runtime_error("the system has no random bytes");
+        throw std::runtime_error("the system provides no random bytes");
     return bytes;
 }
 
--- a/src/libs/utils/errorkind.h
+++ b/src/libs/utils/errorkind.h
@@ -8,8 +8,8 @@
 
 namespace utils {
 
-/// The closed list of what can go wrong with a request or an operator's order. A new kind needs a row
-/// in the table of errorkind.cpp, which a test checks for completeness.
+/// Every kind of failure of a request or of an operator's command. A new kind needs a row in the table of
+/// errorkind.cpp; a test checks that the table is complete.
 enum class error_kind {
     MalformedRequest,
     BodyTooLarge,
@@ -46,46 +46,46 @@
     Count_
 };
 
-/// What a refusal says about the request: a caller may repeat anything that did not run.
+/// Whether a failed request ran. A caller may repeat a request that did not run.
 enum class run_state {
     NotRun,
     MayHaveRun,
     Ran
 };
 
-/// A row of the table from kind to answer.
+/// How a kind of failure is answered: a row of the table in errorkind.cpp.
 struct error_answer {
     error_kind kind;
     std::string_view name; ///< `kind` in problem+json, e.g. "not_approved"
     int httpStatus;
-    run_state run; ///< the state unless the failure says otherwise
-    bool hasRetryAfter; ///< whether coming back later helps: the answer carries Retry-After
+    run_state run; ///< default, unless the failure sets its own
+    bool hasRetryAfter; ///< a later retry may succeed, so the answer has Retry-After
     std::string_view title;
 };
 
-/// One failure on its way to the caller or the operator.
+/// One failure, as reported to the caller or the operator.
 struct failure {
     error_kind kind = error_kind::Internal;
     std::string detail;
-    std::optional<run_state> run; ///< overrides the table's
-    std::optional<duration> retryAfter;
+    std::optional<run_state> run; ///< overrides that of the table
+    std::optional<duration> retryAfter; ///< overrides the default of the table
 };
 
-/// Makes a failure. Coroutines use this and no braces: GCC 12 destroys a string that braces convert from a
-/// literal twice there ("free(): double free detected"). Thread safe.
+/// Makes a failure. Coroutines must use this function instead of braces: in a coroutine, GCC 12 destroys a
+/// string twice that braces convert from a literal ("free(): double free detected"). Thread safe.
 failure makeFailure(error_kind kind, std::string detail = {}, std::optional<run_state> run = {},
     std::optional<duration> retryAfter = {});
-/// The table's row. Precondition: kind is not Count_. Thread safe.
+/// Returns the kind's row of the table. Precondition: kind is not Count_. Thread safe.
 const error_answer& answerFor(error_kind kind);
 /// "not_run", "may_have_run" or "ran". Thread safe.
 std::string_view toString(run_state state);
-/// The kind with that name in problem+json, or nothing. Thread safe.
+/// Returns the kind with that name in problem+json, or nothing. Thread safe.
 std::optional<error_kind> errorKindFromName(std::string_view name);
-/// The run state with that name, or nothing. Thread safe.
+/// Returns the run state with that name, or nothing. Thread safe.
 std::optional<run_state> runStateFromName(std::string_view name);
 /// The body of an application/problem+json answer. Thread safe.
 std::string problemJson(const failure& f);
-/// Whole seconds for Retry-After, at least 1, or 0 when coming back does not help. Thread safe.
+/// Whole seconds for Retry-After, at least 1; 0 if the answer has no such header. Thread safe.
 int retryAfterSeconds(const failure& f);
 
 } // namespace utils
--- a/src/libs/utils/eventcatalogue.h
+++ b/src/libs/utils/eventcatalogue.h
@@ -5,6 +5,7 @@
 
 namespace utils {
 
+/// Severity of a log line.
 enum class severity {
     Debug,
     Info,
@@ -13,8 +14,8 @@
 };
 
 /// Every event that the programs log, by number. docs/EVENTS.md explains each; a test compares the two.
-/// Numbers: 1000 process, 2000 membership, 3000 configuration, 4000 requests, 5000 operations and drafts,
-/// 6000 backend servers, 7000 platform. A number is never used again.
+/// Ranges: 1000 process, 2000 membership, 3000 configuration, 4000 requests, 5000 operations and drafts,
+/// 6000 backend servers, 7000 platform. The number of a removed event is not reused.
 enum class event : int {
     SoftAssert = 1001,
     Started = 1002,
@@ -46,17 +47,17 @@
     StoreFollowing = 7004,
 };
 
-/// A row of the catalogue.
+/// One event of the catalogue.
 struct event_info {
     event id;
     severity level;
-    std::string_view name;
-    std::string_view message;
+    std::string_view name; ///< written to the log
+    std::string_view message; ///< written in the text format only
 };
 
-/// All rows, by number. Thread safe.
+/// Returns all events, ordered by number. Thread safe.
 std::span<const event_info> eventCatalogue();
-/// The row of an event. Precondition: it has one. Thread safe.
+/// Returns the catalogue's entry of an event. Throws std::logic_error if there is none. Thread safe.
 const event_info& infoOf(event id);
 
 } // namespace utils
--- a/src/libs/utils/eventlog.cpp
+++ b/src/libs/utils/eventlog.cpp
@@ -16,11 +16,11 @@
 
 namespace {
 
-// Lines that wait for a reader of standard output that is slow or gone; beyond them the oldest are dropped,
-// so that no request ever waits for a log. At some 400 bytes a line half a megabyte.
-constexpr std::size_t waitingLines = 1024;
+// Lines queued while the reader of standard output is slow or gone. Beyond that the oldest are dropped, so
+// that no request waits for the log. At some 400 bytes per line this is half a megabyte.
+constexpr std::size_t queuedLines = 1024;
 constexpr std::size_t writerThreads = 1;
-// A line is read by people within seconds; a write of its own for each costs a system call.
+// People read lines within seconds; flushing each line would cost a system call.
 constexpr std::chrono::seconds flushPeriod { 1 };
 
 struct log_settings {
@@ -50,7 +50,7 @@
     return line;
 }
 
-/// Without the opening brace, which the pattern writes before the time.
+/// Returns the line without its opening brace, which the logger's pattern writes before the time.
 std::string jsonLine(const event_info& info, const std::vector<log_field>& fields)
 {
     boost::json::object line {
@@ -76,7 +76,7 @@
     log_settings& log = settings();
     log.format = format;
     log.lowest = lowest;
-    spdlog::init_thread_pool(waitingLines, writerThreads);
+    spdlog::init_thread_pool(queuedLines, writerThreads);
     log.logger = spdlog::create_async_nb<spdlog::sinks::stdout_sink_mt>("events");
     const bool isJson = format == log_format::Json;
     log.logger->set_pattern(isJson ? "{\"time\":\"%Y-%m-%dT%H:%M:%S.%eZ\",%v" : "%Y-%m-%dT%H:%M:%S.%e %l %v",
@@ -113,7 +113,7 @@
     const std::string line = log.format == log_format::Json ? jsonLine(info, all) : textLine(info, all);
     const auto level = levels.at(static_cast<std::size_t>(info.level));
     spdlog::logger* logger = log.logger ? log.logger.get() : spdlog::default_logger_raw();
-    // Preformatted: the line may hold braces.
+    // Logged as a finished string: the line may contain braces, which a format string would interpret.
     logger->log(level, spdlog::string_view_t(line));
 }
 
--- a/src/libs/utils/eventlog.h
+++ b/src/libs/utils/eventlog.h
@@ -10,27 +10,27 @@
 
 namespace utils {
 
-/// How lines are written.
+/// Format of log lines.
 enum class log_format {
     Text,
     Json
 };
 
-/// One named value of a log line. Never a key, a token or a body.
+/// One named value of a log line. Must not hold a key, a token or a body.
 struct log_field {
     std::string name;
     std::string value;
 };
 
-/// Sets format and lowest severity for the process; lines go to standard output, by a thread that no caller
-/// ever waits for. Not thread safe: call once at start.
+/// Sets the log format and the lowest severity of the process. A separate thread writes the lines to standard
+/// output; callers never wait for it. Not thread safe: call once at start.
 void configureLog(log_format format, severity lowest);
-/// Writes one line: time, number, name and the fields; in a text also the message. Above the rate of its
-/// event it is left out and counted. Thread safe.
+/// Logs one line: time, number, name and the fields; in the text format also the message. A line above the
+/// rate limit of its event (see event_rate_limiter) is suppressed and counted. Thread safe.
 void logEvent(event id, const std::vector<log_field>& fields = {});
-/// Lines dropped because standard output was not read. Thread safe.
+/// Number of lines dropped because standard output was not read fast enough. Thread safe.
 std::uint64_t droppedLines();
-/// Writes what waits and ends the writer; to be called before the process ends. Not thread safe.
+/// Writes all queued lines and stops the writer thread; call before the process exits. Not thread safe.
 void flushLog();
 
 } // namespace utils
--- a/src/libs/utils/eventratelimiter.h
+++ b/src/libs/utils/eventratelimiter.h
@@ -8,9 +8,9 @@
 
 namespace utils {
 
-/// Bounds how many lines of each event a process writes, so that an overload does not become one of the
-/// log: a refusal costs some microseconds, its line about as much again. Lines left out are counted and
-/// told with the next line of the event. Not thread safe.
+/// Limits the log lines of each event with a token bucket, so that logging does not add to an overload: a
+/// refusal costs some microseconds, its log line about as much again. Suppressed lines are counted and the
+/// number is reported with the next line of the event. Not thread safe.
 class event_rate_limiter {
 public:
     /// Lines a second of one event: above what a node serves in its busiest second.
@@ -18,11 +18,12 @@
     /// Lines at once: two seconds' worth.
     static constexpr double burst = 600;
 
-    /// Whether a line of that event may be written now; what was left out since the last one.
+    /// Whether a line may be written, and how many were suppressed since the last one that was.
     struct decision {
         bool isAdmitted = false;
         std::uint64_t suppressed = 0;
     };
+    /// Decides whether a line of the event may be written at `now`, and counts it.
     decision admit(event id, time_point now);
 
 private:
--- a/src/libs/utils/hashing.cpp
+++ b/src/libs/utils/hashing.cpp
@@ -20,7 +20,8 @@
 
 double toUnitInterval(std::uint64_t hash)
 {
-    constexpr int mantissaBits = 52; // one less than a double has, so that adding the half stays exact
+    constexpr int mantissaBits
+        = 52; // one less than the precision of a double, so that adding `half` is exact
     constexpr double scale = 1.0 / static_cast<double>(1ULL << mantissaBits);
     constexpr double half = 0.5;
     return (static_cast<double>(hash >> (64 - mantissaBits)) + half) * scale;
--- a/src/libs/utils/ids.h
+++ b/src/libs/utils/ids.h
@@ -10,7 +10,7 @@
 
 namespace utils {
 
-/// A name that cannot be mistaken for a name of another kind.
+/// A strongly typed identifier: ids with different tags are different types.
 template <class Tag> class strong_id {
 public:
     strong_id() = default;
@@ -19,7 +19,7 @@
     {
     }
 
-    /// The name as text. Thread safe.
+    /// Returns the id as text. Thread safe.
     const std::string& str() const { return m_value; }
     /// Thread safe.
     bool isEmpty() const { return m_value.empty(); }
@@ -40,12 +40,12 @@
 using data_centre_id = strong_id<struct data_centre_tag>;
 /// A calling team.
 using team_id = strong_id<struct team_tag>;
-/// A set of like backend servers: a pool of model engines or a plain service.
+/// A set of interchangeable backend servers: a pool of model engines or a plain service.
 using pool_id = strong_id<struct pool_tag>;
 /// One backend server: a model engine or a replica of a plain service.
 using server_id = strong_id<struct server_tag>;
 
-/// Revision of the operators' configuration; grows by one with each accepted change.
+/// Revision of the operators' configuration; each accepted change increments it by one.
 using config_revision = std::uint64_t;
 
 } // namespace utils
--- a/src/libs/utils/processclock.cpp
+++ b/src/libs/utils/processclock.cpp
@@ -6,7 +6,7 @@
 
 time_point processNow()
 {
-    // Not std::chrono::steady_clock, which stands still while the whole VM is suspended.
+    // Not std::chrono::steady_clock, which stops while the VM is suspended.
     timespec now {};
     clock_gettime(CLOCK_BOOTTIME, &now);
     const auto since = std::chrono::seconds(now.tv_sec) + std::chrono::nanoseconds(now.tv_nsec);
--- a/src/libs/utils/processclock.h
+++ b/src/libs/utils/processclock.h
@@ -4,9 +4,9 @@
 
 namespace utils {
 
-/// The monotonic clock of this process, which goes on while the VM is suspended: evidence and connections
-/// that are old by the world's time must not look fresh after a pause. Only code that does I/O reads it; it
-/// hands the time on. Thread safe.
+/// Returns the monotonic time of this process. The clock includes the time that the VM was suspended:
+/// evidence and connections that became stale meanwhile must not look fresh afterwards. Only code that does
+/// I/O reads the clock; it passes the time to all other code. Thread safe.
 time_point processNow();
 
 } // namespace utils
--- a/src/libs/utils/softassert.h
+++ b/src/libs/utils/softassert.h
@@ -2,13 +2,13 @@
 
 namespace utils {
 
-/// Logs a broken expectation (event 1001). Thread safe.
+/// Logs a failed soft assertion (event 1001). Thread safe.
 void reportSoftAssert(const char* condition, const char* file, int line);
 
 } // namespace utils
 
-/// Logs and runs `action` (usually a return) when `condition` does not hold: a broken expectation of the
-/// code costs one request, never the process with all the requests in it.
+/// Soft assertion: if `condition` is false, logs it and runs `action` (usually a return). A programming error
+/// then fails one request instead of the process with all its requests.
 #define LF_ASSERT(condition, action)                                                                         \
     if (condition) [[likely]] {                                                                              \
     } else {                                                                                                 \
--- a/src/libs/utils/statechart.cpp
+++ b/src/libs/utils/statechart.cpp
@@ -34,16 +34,17 @@
     return chart + ": state " + state;
 }
 
-/// States that can be reached from `start` along the arrows, or against them.
-std::set<std::string> closure(
-    const std::vector<chart_transition>& arrows, std::set<std::string> reached, bool backwards)
+/// Returns `reached` and all states that transitions lead to from there; with `backwards`, all states that
+/// lead to it.
+std::set<std::string> reachableStates(
+    const std::vector<chart_transition>& transitions, std::set<std::string> reached, bool backwards)
 {
     bool grew = true;
     while (grew) {
         grew = false;
-        for (const chart_transition& arrow : arrows) {
-            const std::string& from = backwards ? arrow.to : arrow.from;
-            const std::string& to = backwards ? arrow.from : arrow.to;
+        for (const chart_transition& transition : transitions) {
+            const std::string& from = backwards ? transition.to : transition.from;
+            const std::string& to = backwards ? transition.from : transition.to;
             if (reached.contains(from))
                 grew = reached.insert(to).second || grew;
         }
@@ -64,11 +65,11 @@
         for (const auto& state : root["states"]) {
             const auto from = state.first.as<std::string>();
             chart.m_states.push_back(from);
-            for (const auto& arrow : state.second) {
-                const auto event = arrow.first.as<std::string>();
+            for (const auto& transition : state.second) {
+                const auto event = transition.first.as<std::string>();
                 addOnce(chart.m_events, event);
-                chart.m_transitions.push_back(
-                    { from, event, arrow.second["to"].as<std::string>(), readNames(arrow.second["do"]) });
+                chart.m_transitions.push_back({ from, event, transition.second["to"].as<std::string>(),
+                    readNames(transition.second["do"]) });
             }
         }
         for (const auto& ignored : root["ignored"])
@@ -97,53 +98,55 @@
 
 const chart_transition* state_chart::find(std::string_view state, std::string_view event) const
 {
-    const auto arrow = std::ranges::find_if(
+    const auto transition = std::ranges::find_if(
         m_transitions, [&](const chart_transition& t) { return t.from == state && t.event == event; });
-    return arrow == m_transitions.end() ? nullptr : &*arrow;
+    return transition == m_transitions.end() ? nullptr : &*transition;
 }
 
 result<void> state_chart::check() const
 {
     BOOST_LEAF_CHECK(checkReachable());
-    BOOST_LEAF_CHECK(checkWayOut());
-    return checkComplete();
+    BOOST_LEAF_CHECK(checkFinalReachable());
+    return checkEventsHandled();
 }
 
 result<void> state_chart::checkReachable() const
 {
-    const std::set<std::string> reached = closure(m_transitions, { m_initial }, false);
+    const std::set<std::string> reached = reachableStates(m_transitions, { m_initial }, false);
     for (const std::string& state : reached) {
         if (!contains(m_states, state))
-            return fail(error_kind::InvalidDocument, describe(m_name, state) + " is not listed");
+            return fail(error_kind::InvalidDocument, describe(m_name, state) + " is not defined");
     }
     for (const std::string& state : m_states) {
         if (!reached.contains(state))
-            return fail(error_kind::InvalidDocument, describe(m_name, state) + " cannot be reached");
+            return fail(error_kind::InvalidDocument, describe(m_name, state) + " is unreachable");
     }
     return {};
 }
 
-result<void> state_chart::checkWayOut() const
+result<void> state_chart::checkFinalReachable() const
 {
     if (m_finals.empty())
         return {};
-    const std::set<std::string> ending = closure(m_transitions, { m_finals.begin(), m_finals.end() }, true);
+    const std::set<std::string> canFinish
+        = reachableStates(m_transitions, { m_finals.begin(), m_finals.end() }, true);
     for (const std::string& state : m_states) {
-        if (!ending.contains(state))
-            return fail(error_kind::InvalidDocument, describe(m_name, state) + " has no way to an end");
+        if (!canFinish.contains(state))
+            return fail(
+                error_kind::InvalidDocument, describe(m_name, state) + " has no path to a final state");
     }
     return {};
 }
 
-result<void> state_chart::checkComplete() const
+result<void> state_chart::checkEventsHandled() const
 {
     for (const std::string& state : m_states) {
         const auto ignored = m_ignored.find(state);
         for (const std::string& event : m_events) {
             const bool isIgnored = ignored != m_ignored.end() && contains(ignored->second, event);
             if (!isIgnored && find(state, event) == nullptr)
-                return fail(error_kind::InvalidDocument,
-                    describe(m_name, state) + " has no answer to event " + event);
+                return fail(
+                    error_kind::InvalidDocument, describe(m_name, state) + " does not handle event " + event);
         }
     }
     return {};
@@ -152,11 +155,11 @@
 const std::vector<std::string>& chart_position::take(std::string_view event)
 {
     static const std::vector<std::string> none;
-    const chart_transition* arrow = m_chart->find(m_state, event);
-    if (arrow == nullptr)
+    const chart_transition* transition = m_chart->find(m_state, event);
+    if (transition == nullptr)
         return none;
-    m_state = arrow->to;
-    return arrow->actions;
+    m_state = transition->to;
+    return transition->actions;
 }
 
 } // namespace utils
--- a/src/libs/utils/statechart.h
+++ b/src/libs/utils/statechart.h
@@ -10,15 +10,15 @@
 
 namespace utils {
 
-/// One arrow of a chart.
+/// One transition of a chart.
 struct chart_transition {
     std::string from;
     std::string event;
     std::string to;
-    std::vector<std::string> actions; ///< names; the interpreter's owner maps each to what it does
+    std::vector<std::string> actions; ///< names; chart_machine maps each to a member function
 };
 
-/// A state chart read from a YAML file of share/lycheefront/charts:
+/// A state chart, read from a YAML file in share/lycheefront/charts:
 ///
 ///     chart: operation
 ///     initial: new
@@ -26,16 +26,16 @@
 ///     states:
 ///       new:
 ///         create: {to: creating, do: [writeRecord]}
-///     ignored: {answered: [tick]}   # events that a state takes without effect
+///     ignored: {answered: [tick]}   # events that have no effect in a state
 ///
-/// Immutable once read, so it may be shared between threads.
+/// Immutable once parsed, so it may be shared between threads.
 class state_chart {
 public:
-    /// Reads and checks a chart: each state reachable, each non-final state with a way to a final one, and
-    /// each state with an answer (an arrow or `ignored`) to every event of the chart.
-    /// Fails with error_kind::InvalidDocument that names state and event. Thread safe.
+    /// Parses and validates a chart: each state must be reachable, each must have a path to a final state if
+    /// there are any, and each must handle every event of the chart by a transition or by `ignored`.
+    /// Fails with error_kind::InvalidDocument; the failure names the state and the event. Thread safe.
     static result<state_chart> parse(const std::string& yaml);
-    /// Reads a file, then as parse. Thread safe.
+    /// Reads a file and parses it as parse() does. Thread safe.
     static result<state_chart> load(const std::string& path);
 
     /// Thread safe.
@@ -44,20 +44,20 @@
     const std::string& initial() const { return m_initial; }
     /// Thread safe.
     const std::vector<std::string>& states() const { return m_states; }
-    /// Every event that any state names. Thread safe.
+    /// Every event with a transition in some state. Thread safe.
     const std::vector<std::string>& events() const { return m_events; }
-    /// Every arrow, in the file's order. Thread safe.
+    /// Every transition, in the order of the file. Thread safe.
     const std::vector<chart_transition>& transitions() const { return m_transitions; }
     /// Thread safe.
     bool isFinal(std::string_view state) const;
-    /// The arrow that `event` takes from `state`, or null when the state ignores it. Thread safe.
+    /// Returns the transition for `event` from `state`, or null if the state ignores it. Thread safe.
     const chart_transition* find(std::string_view state, std::string_view event) const;
 
 private:
     result<void> check() const;
     result<void> checkReachable() const;
-    result<void> checkWayOut() const;
-    result<void> checkComplete() const;
+    result<void> checkFinalReachable() const;
+    result<void> checkEventsHandled() const;
 
     std::string m_name;
     std::string m_initial;
@@ -68,10 +68,10 @@
     std::map<std::string, std::vector<std::string>> m_ignored;
 };
 
-/// Where one object stands in a chart. Not thread safe.
+/// The current state of one object in a chart. Not thread safe.
 class chart_position {
 public:
-    /// Precondition: the chart outlives this.
+    /// Precondition: the chart outlives this object.
     explicit chart_position(const state_chart& chart)
         : m_chart(&chart)
         , m_state(chart.initial())
@@ -80,7 +80,8 @@
 
     const std::string& state() const { return m_state; }
     bool isFinal() const { return m_chart->isFinal(m_state); }
-    /// Takes the event; the actions of the arrow taken, none when the state ignores the event.
+    /// Takes the event and moves to the next state. Returns the actions of the transition, none if the state
+    /// ignores the event.
     const std::vector<std::string>& take(std::string_view event);
 
 private:
--- a/tests/auto/utils/tst_crypto.cpp
+++ b/tests/auto/utils/tst_crypto.cpp
@@ -18,7 +18,7 @@
     BOOST_TEST(utils::toHex(digest) == "f7bc83f430538424b13298e6aa6fb143ef4d59a14946175997479dbc2d1a3cd8");
 }
 
-BOOST_AUTO_TEST_CASE(base64_gives_back_every_length)
+BOOST_AUTO_TEST_CASE(base64_round_trips_every_length)
 {
     for (std::size_t size = 0; size < 50; ++size) {
         const std::string bytes = utils::randomBytes(size);
@@ -27,14 +27,14 @@
     BOOST_TEST(utils::fromBase64("not base64!").empty());
 }
 
-BOOST_AUTO_TEST_CASE(constant_time_comparison_tells_equal_from_different)
+BOOST_AUTO_TEST_CASE(constant_time_comparison_distinguishes_equal_and_different)
 {
     BOOST_TEST(utils::equalConstantTime("same", "same"));
     BOOST_TEST(!utils::equalConstantTime("same", "Same"));
     BOOST_TEST(!utils::equalConstantTime("same", "same longer"));
 }
 
-BOOST_AUTO_TEST_CASE(hashes_are_the_same_in_every_build)
+BOOST_AUTO_TEST_CASE(hashes_are_deterministic_and_combine_in_order)
 {
     BOOST_TEST(utils::hash64("lycheefront") == utils::hash64("lycheefront"));
     BOOST_TEST(utils::combineHashes(1, 2) != utils::combineHashes(2, 1));
--- a/tests/auto/utils/tst_errorkind.cpp
+++ b/tests/auto/utils/tst_errorkind.cpp
@@ -10,7 +10,7 @@
 
 BOOST_AUTO_TEST_SUITE(errorkind)
 
-BOOST_AUTO_TEST_CASE(every_kind_has_its_own_row)
+BOOST_AUTO_TEST_CASE(every_kind_has_a_row_with_unique_name)
 {
     std::set<std::string_view> names;
     for (int i = 0; i < static_cast<int>(error_kind::Count_); ++i) {
@@ -21,7 +21,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(a_problem_says_whether_the_request_ran_and_when_to_come_back)
+BOOST_AUTO_TEST_CASE(problem_json_holds_run_state_and_retry_after)
 {
     const utils::failure limited { error_kind::RateLimited, "40 a second", {},
         std::chrono::milliseconds(2300) };
@@ -32,7 +32,7 @@
     BOOST_TEST(body.at("status").as_int64() == 429);
 }
 
-BOOST_AUTO_TEST_CASE(a_failure_overrides_the_run_state_of_the_table)
+BOOST_AUTO_TEST_CASE(failure_overrides_run_state_of_table)
 {
     const utils::failure cut { error_kind::ServerFailed, "", utils::run_state::NotRun, {} };
     const auto body = boost::json::parse(utils::problemJson(cut)).as_object();
--- a/tests/auto/utils/tst_eventcatalogue.cpp
+++ b/tests/auto/utils/tst_eventcatalogue.cpp
@@ -20,7 +20,7 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(the_docs_list_exactly_the_events_of_the_code)
+BOOST_AUTO_TEST_CASE(docs_list_exactly_the_events_of_the_catalogue)
 {
     std::ifstream file(LYCHEEFRONT_SOURCE_DIR "/docs/EVENTS.md");
     std::set<std::string> documented;
--- a/tests/auto/utils/tst_statechart.cpp
+++ b/tests/auto/utils/tst_statechart.cpp
@@ -36,7 +36,7 @@
 
 BOOST_AUTO_TEST_SUITE(statechart)
 
-BOOST_AUTO_TEST_CASE(a_position_follows_the_arrows_and_gives_their_actions)
+BOOST_AUTO_TEST_CASE(position_follows_transitions_and_returns_their_actions)
 {
     const utils::state_chart chart = utils::state_chart::parse(lampChart).value();
     utils::chart_position position(chart);
@@ -49,25 +49,25 @@
     BOOST_TEST(position.state() == "broken");
 }
 
-BOOST_AUTO_TEST_CASE(an_event_without_an_answer_in_some_state_is_refused)
+BOOST_AUTO_TEST_CASE(chart_with_unhandled_event_is_rejected)
 {
     std::string yaml = lampChart;
     yaml.replace(yaml.find("[press, drop]"), 13, "[press]");
-    BOOST_TEST(errorOf(yaml) == "lamp: state broken has no answer to event drop");
+    BOOST_TEST(errorOf(yaml) == "lamp: state broken does not handle event drop");
 }
 
-BOOST_AUTO_TEST_CASE(a_state_that_cannot_be_reached_is_refused)
+BOOST_AUTO_TEST_CASE(chart_with_unreachable_state_is_rejected)
 {
     std::string yaml = lampChart;
     yaml.replace(yaml.find("  broken: {}"), 12, "  broken: {}\n  dim: {}");
-    BOOST_TEST(errorOf(yaml) == "lamp: state dim cannot be reached");
+    BOOST_TEST(errorOf(yaml) == "lamp: state dim is unreachable");
 }
 
-BOOST_AUTO_TEST_CASE(a_state_without_a_way_to_an_end_is_refused)
+BOOST_AUTO_TEST_CASE(chart_with_state_without_path_to_final_is_rejected)
 {
     const std::string yaml = "chart: loop\ninitial: a\nfinal: [c]\nstates:\n  a: {x: {to: b}, y: {to: c}}\n"
                              "  b: {x: {to: b}, y: {to: b}}\n  c: {}\nignored: {c: [x, y]}\n";
-    BOOST_TEST(errorOf(yaml) == "loop: state b has no way to an end");
+    BOOST_TEST(errorOf(yaml) == "loop: state b has no path to a final state");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
