--- a/tests/fuzz/documentproperty.h
+++ b/tests/fuzz/documentproperty.h
@@ -6,8 +6,8 @@
 
 #include <string>
 
-/// What must hold for any text that reaches the reader of documents: it never throws, every problem says
-/// something, and a text without problems gives a canonical text that reads back as the same document.
+/// Property of the document parser for any text: it does not throw, every problem has a message, and a text
+/// without problems has a canonical form that parses to the same document.
 inline bool holdsForDocument(const std::string& text)
 {
     const config::parsed_document parsed = config::parseDocument(text, "f");
@@ -22,8 +22,8 @@
     return again.problems.empty() && config::toYaml(again.value) == canonical;
 }
 
-/// Any text as settings, head, list of sections or delta: never an exception, and what is taken is written
-/// back so that it reads the same.
+/// Property of the decoders of settings, heads, buckets and deltas for any text: they do not throw, and a
+/// decoded value encodes to a text that decodes to the same value.
 inline bool holdsForStoredText(const std::string& text)
 {
     (void)config::parseSettings(text, "f");
@@ -34,7 +34,7 @@
     if (bucket && config::decodeBucket(config::encode(*bucket)) != bucket)
         return false;
     const auto delta = config::decodeDelta(text);
-    // A delta from anywhere must not bring a configuration into force that its head does not name.
+    // No delta, whatever its source, may bring a configuration into force that its head does not name.
     if (delta)
         (void)config::applyDelta(config::config_snapshot(), *delta);
     return true;
--- a/tests/fuzz/gatewayproperty.h
+++ b/tests/fuzz/gatewayproperty.h
@@ -10,7 +10,8 @@
 #include <string>
 #include <string_view>
 
-/// Any bytes from a peer: never an exception, and what is taken is written back so that it reads the same.
+/// Property of the decoders of peer messages for any bytes: they do not throw, and a decoded message encodes
+/// to bytes that decode to the same message.
 inline bool holdsForPeerBytes(std::string_view bytes)
 {
     const auto beat = gateway::decodeBeat(bytes);
@@ -27,7 +28,7 @@
     return true;
 }
 
-/// Any bytes from the store: never an exception, and what is refused says why.
+/// Property of the decoders of store data for any bytes: they do not throw, and every failure has a detail.
 inline bool holdsForStoreBytes(std::string_view bytes)
 {
     bool isExplained = true;
@@ -52,8 +53,8 @@
     return isExplained;
 }
 
-/// Any bytes as a stream of events: what goes on does not depend on how the bytes were cut on their way, and
-/// is made of whole events.
+/// Property of the event scanner for any bytes: its output does not depend on how the stream was split into
+/// reads, and consists of complete events.
 inline bool holdsForEventBytes(std::string_view bytes)
 {
     gateway::event_scanner atOnce;
@@ -67,8 +68,8 @@
     return whole.empty() || whole.ends_with("\n\n");
 }
 
-/// Any bytes as the head of a request: never an exception, and no head passes that another parser may read as
-/// two lines where this one reads one.
+/// Property of the check of request heads for any bytes: it does not throw, and it accepts no head in which
+/// another parser may see two lines where this one sees one.
 inline bool holdsForHead(std::string_view bytes)
 {
     if (gateway::checkHead(bytes) != gateway::head_fault::None)
--- a/tests/fuzz/mutate.h
+++ b/tests/fuzz/mutate.h
@@ -4,7 +4,8 @@
 #include <string>
 #include <string_view>
 
-/// The text with a few places deleted, doubled or overwritten by one of `marks`.
+/// Returns the text with 1 to 4 random mutations: a piece deleted, a piece duplicated elsewhere, or a
+/// character overwritten by one of `marks`.
 inline std::string mutate(std::string text, std::string_view marks, std::mt19937_64& random)
 {
     const std::size_t times = 1 + random() % 4;
