--- a/src/libs/decisions/candidatewalk.h
+++ b/src/libs/decisions/candidatewalk.h
@@ -17,68 +17,69 @@
 /// Asks the home of `server` to admit the request.
 struct ask_home {
     utils::server_id server;
-    bool holdsCache = false; ///< the server holds the chat's prefix: the whole c applies
-    std::uint32_t prefixTokens = 0; ///< of that prefix; the home may hold the request back by maxCacheWait it
-    bool isAnchor = false; ///< the home looks the chat up in its spill_table first
-    bool onlyIfRemembered = false; ///< an unknown chat is not admitted yet: its former anchor is asked first
+    bool holdsCache = false; ///< the server holds the chat's prefix, so the full bound c applies
+    std::uint32_t prefixTokens = 0; ///< its length; the home may queue the request for maxCacheWait
+    bool isAnchor = false; ///< the home first looks the chat up in its spill_table
+    bool onlyIfRemembered = false; ///< do not admit an unknown chat yet: its former anchor is asked first
 };
 
-/// Asks the home of a server that was the chat's anchor before a server joined or left: its spill_table may
-/// still know the chat. Admits nothing; answered by a home_answer with or without `remembered`.
+/// Asks the home of the server that was the chat's anchor before a server joined or left, whose spill_table
+/// may still know the chat. Admits nothing; the home_answer may carry `remembered`.
 struct ask_former_anchor {
     utils::server_id server;
 };
 
-/// No candidate has room: let the home of `server` queue the request until it has, or until its deadline.
+/// No candidate has room: the home of `server` queues the request until it has room or the deadline passes.
 struct queue_at {
     utils::server_id server;
     bool holdsCache = false;
 };
 
-/// Every server is out: nothing to ask.
+/// No server is left to ask.
 struct no_candidate { };
 
 using walk_step = std::variant<ask_home, ask_former_anchor, queue_at, no_candidate>;
 
-/// What a home answers to ask_home.
+/// A home's answer to a walk_step.
 struct home_answer {
     admit_verdict verdict = admit_verdict::NotHolding;
-    /// Of the anchor's home: the chat's prefix is at that server; nothing was admitted yet unless it is its
-    /// own.
+    /// Set by the anchor's home: the server that holds the chat's prefix. Nothing is admitted unless that is
+    /// the home's own server.
     std::optional<spill_record> remembered = std::nullopt;
-    unsigned load = 0; ///< of the home's server, for the entry node's load_view
+    unsigned load = 0; ///< in-flight requests of the home's server, for the entry node's load_view
     double slots = 1; ///< slots x ramp-up
 };
 
 struct walk_settings {
-    /// New chats have a server below the mean among eight with near certainty; more costs hops.
+    /// Among eight servers, almost always one is below the mean load; more candidates cost more hops.
     std::size_t maxCandidates = 8;
 };
 
-/// The entry node's way down a chat's ranking: the anchor first, then where the anchor remembers the chat,
-/// then the ranking's next ones, and when none has room, the least loaded of those asked queues it. Answers a
-/// hot server: its chats go to the next ones of their own rankings, which differ from chat to chat, so no
-/// single neighbour takes the whole overflow. Bounded: a request asks at most maxCandidates + 1 homes.
-/// Events in (onAnswer), one step out (next); not thread safe.
+/// Decides which homes the entry node asks for a chat, in the order of the chat's ranking: the anchor, then
+/// the server that the anchor's spill_table names, then the next servers of the ranking. When none has room,
+/// the least loaded of those asked queues the request. Load: a hot server; its overflow goes to the next
+/// servers of each chat's own ranking, which differ between chats, so no single server takes the whole
+/// overflow. A request asks at most maxCandidates + 1 homes. State machine: onAnswer() takes events, next()
+/// returns the step to execute. Not thread safe.
 class candidate_walk {
 public:
-    /// `ranking`: servers as rankServers orders them. `formerAnchor`: first of the ranking over the servers
-    /// of a while ago (as long as chats usually pause), where it differs from today's first.
+    /// `ranking`: servers in the order of rankServers. `formerAnchor`: first of the ranking over an earlier
+    /// set of servers (as long ago as chats usually pause), if it differs from the current first.
     explicit candidate_walk(std::vector<utils::server_id> ranking,
         std::optional<utils::server_id> formerAnchor = {}, walk_settings settings = {});
 
-    /// The next thing to do. Repeats itself until onAnswer.
+    /// Returns the next step; the same one until onAnswer() is called.
     walk_step next() const;
-    /// Answer of the home last asked; a home that does not answer counts as NotHolding. After queue_at the
-    /// answer is that of the queue.
+    /// Applies the answer of the home last asked. Report a home that does not answer as NotHolding. After
+    /// queue_at, the answer is the outcome of the queueing.
     void onAnswer(const home_answer& answer);
     /// Whether a home admitted the request.
     bool isAdmitted() const { return m_isAdmitted; }
-    /// The server last asked.
+    /// The server whose home was asked last.
     const std::optional<utils::server_id>& asked() const { return m_asked; }
-    /// The server whose home has to learn where the chat went (spill_table::remember), once admitted.
+    /// The anchor server, whose home must record where the chat was admitted (spill_table::remember).
     const std::optional<utils::server_id>& anchor() const { return m_anchor; }
-    /// Homes asked so far.
+    /// Number of homes asked so far.
     std::size_t asks() const { return m_asks; }
 
 private:
--- a/src/libs/decisions/homeledger.cpp
+++ b/src/libs/decisions/homeledger.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Own counts are kept so long to be set against a late report; a report is late by a second or two.
-constexpr utils::duration historyLife = std::chrono::seconds(5);
-/// A request that was just dispatched may not show in a report yet; counted as own it would hide another's.
+/// Own counts are kept for comparison with late reports; a report is late by one or two seconds.
+constexpr utils::duration historyLifetime = std::chrono::seconds(5);
+/// A request dispatched within this time may be missing in a report; if it were subtracted as an own one, it
+/// would hide a request of another node.
 constexpr utils::duration reportJitter = std::chrono::milliseconds(200);
 
 } // namespace
@@ -113,8 +114,7 @@
     const auto found = m_predecessors.find(node);
     if (found == m_predecessors.end())
         return;
-    // The latest counts: a node that lived in between without being noticed may have renewed its currency
-    // then.
+    // The latest time counts: a node that was alive in between unnoticed may have refreshed its view then.
     auto& known = found->second.deadSince;
     known = known ? std::max(*known, deadSince) : deadSince;
 }
@@ -145,7 +145,7 @@
 
 void home_ledger::onViewStale()
 {
-    // A holder that went on after a pause would be a second one: its successor has waited out T by now.
+    // A holder that continued after a pause would be a second one: by now T has elapsed for its successor.
     if (m_state == home_state::Holding) {
         m_state = home_state::Released;
         m_successor = {};
@@ -158,16 +158,16 @@
         return;
     m_reportedAt = report.sampledAt;
     const unsigned own = lowestCountNear(report.sampledAt);
-    const unsigned foreign = report.inFlight > own ? report.inFlight - own : 0;
+    const unsigned unattributed = report.inFlight > own ? report.inFlight - own : 0;
     if (m_state != home_state::Holding) {
-        m_inherited = foreign;
+        m_inherited = unattributed;
         return;
     }
-    // What was there at the takeover only ends: the lowest report bounds it, to the last request.
+    // The inherited requests can only end, so the lowest report since the takeover is an upper bound of them.
     if (report.sampledAt > m_heldSince)
-        m_inherited = std::min(m_inherited, foreign);
+        m_inherited = std::min(m_inherited, unattributed);
     const bool isSettled = now - m_heldSince > m_settings.settleFor;
-    m_unattributed = isSettled && foreign <= m_settings.reportTolerance ? 0 : foreign;
+    m_unattributed = isSettled && unattributed <= m_settings.reportTolerance ? 0 : unattributed;
 }
 
 void home_ledger::setCapacity(unsigned slots, double rampUp)
@@ -237,7 +237,7 @@
 
 void home_ledger::recordCount(utils::time_point now)
 {
-    while (m_history.size() > 1 && now - m_history[1].at > historyLife + reportJitter)
+    while (m_history.size() > 1 && now - m_history[1].at > historyLifetime + reportJitter)
         m_history.pop_front();
     m_history.push_back({ now, ownInFlight() });
 }
--- a/src/libs/decisions/homeledger.h
+++ b/src/libs/decisions/homeledger.h
@@ -15,28 +15,28 @@
 
 namespace decisions {
 
-/// Where a node stands as home of one backend server.
+/// State of a node as home of one backend server.
 enum class home_state {
     NotHome,
-    AwaitingHandover, ///< claimed; an earlier home may still dispatch
+    AwaitingHandover, ///< it has claimed the server; an earlier home may still dispatch
     Holding, ///< counts and dispatches
-    Released ///< handed over; its last requests finish
+    Released ///< handed over; its last requests are still running
 };
 
-/// Answer of a home to a request that an entry node brings.
+/// Answer of a home to an entry node's request.
 enum class admit_verdict {
     Admitted,
-    OverBound, ///< above c x mean: the entry node goes on down the ranking
-    SlotsFull, ///< no slot free, or the island's share of them is used up
-    NotHolding ///< not home, or not yet: the entry node goes on, or asks the home named by its view
+    OverBound, ///< above c x mean: the entry node continues with the next server of the ranking
+    SlotsFull, ///< no slot free, or this partition's share of the slots is used up
+    NotHolding ///< not home, or not yet: the entry node continues, or asks the home that its view names
 };
 
 /// Answer to a claim.
 enum class claim_verdict {
-    Released, ///< it held, holds no longer, and so many requests are still in flight
+    Released, ///< it held the server and has released it; `inFlight` of its requests still run
     NeverHeld,
     HeldElsewhere, ///< it handed over to `holder` before
-    Keeps ///< it ranks before the claimant, who does not see it: the claimant has to wait
+    Keeps ///< it ranks before the claimant, whose view lacks it: the claimant has to wait
 };
 
 struct claim_answer {
@@ -45,95 +45,101 @@
     utils::node_id holder;
 };
 
-/// What a node sees of its fleet at the moment of a dispatch.
+/// A node's view of the fleet at the time of a dispatch.
 struct fleet_state {
     mean_load mean;
-    unsigned nodesHeard = 1; ///< k: listed VMs heard within T, itself included
+    unsigned nodesHeard = 1; ///< k: listed VMs from which a heartbeat arrived within T, including itself
     unsigned nodesListed = 1; ///< n
-    bool isCurrent = true; ///< false after a pause or a cut, until the node has heard again
+    bool isCurrent = true; ///< false after a pause or partition, until heartbeats arrive again
 };
 
-/// Load as a backend server reports it, with a lag.
+/// Load that a backend server reports; it arrives with a lag.
 struct server_report {
     unsigned inFlight = 0;
     utils::time_point sampledAt; ///< by the home's clock
 };
 
 struct home_settings {
-    /// T: a home that nobody hears stops dispatching before so long. Must not be below the fleet's currency
-    /// time.
+    /// T: a home that the others cannot hear stops dispatching before this time has passed. Must not be below
+    /// the time after which a node's view counts as stale (isCurrent).
     utils::duration deadAfter = std::chrono::seconds(3);
-    /// A new home counts the server's reports to the last request for so long: twice their usual lag and
-    /// more.
+    /// Time for which a new home counts every request in the server's reports, without reportTolerance: more
+    /// than twice their usual lag.
     utils::duration settleFor = std::chrono::seconds(5);
-    /// Reports without a successor for so long say nothing any more.
+    /// A report is stale when no newer one has arrived for this time.
     utils::duration reportLifetime = std::chrono::seconds(10);
-    /// Requests by which report and count differ for no other reason than bytes on their way.
+    /// Difference in requests between report and count that is explained by messages in transit.
     unsigned reportTolerance = 2;
 };
 
-/// The count of one backend server at its home node: admits, counts, hands over.
+/// Exact count of one backend server's in-flight requests, kept by its home node; admits requests by it and
+/// hands it over to a new home.
 ///
-/// Answers many entry nodes that each see a sliver: without one exact count, nodes that read lagging loads
-/// send their requests to the same idle server (a herd), and with a quota a node a server of 32 slots would
-/// give each of 400 nodes less than one. At most one node holds a server: a claimant dispatches only when the
-/// holder has released it or every node that may hold it has been dead for longer than T, by when such a node
-/// has stopped by itself (isCurrent). The bound compares the home's count with the mean of such counts. An
-/// island that hears k of n listed VMs uses k/n of the slots, so that disjoint islands together stay within
-/// the server's slots; c x mean needs no such share, since for islands that each hold own <= c x own mean the
-/// sums hold it too. Not thread safe.
+/// Load: many entry nodes that each see a small part of the requests. Without one exact count, nodes with
+/// lagging load data send their requests to the same idle server (thundering herd); with a fixed quota per
+/// node, a server of 32 slots would give each of 400 nodes less than one slot.
+///
+/// At most one node holds a server: a claimant dispatches only when the holder has released the server, or
+/// when every node that may hold it has been dead for longer than T, by which time such a node has stopped
+/// dispatching by itself (isCurrent). The bound compares the home's count with the mean of such counts.
+///
+/// A network partition that hears k of n listed VMs uses k/n of the slots, so that disjoint partitions
+/// together stay within the server's slots. The bound c x mean needs no such share: if each partition keeps
+/// its load within c x its own mean, the sum is within c x the overall mean too. Not thread safe.
 class home_ledger {
 public:
     home_ledger(utils::node_id self, unsigned slots, home_settings settings = {});
 
-    /// The node's view names it home. Claims are to be sent to `predecessors` (the first ones, over all
-    /// listed VMs, dead ones too, of rankHomes, and whoever the digests name as holder) and repeated until
-    /// isAwaiting() is false. No effect when it holds.
+    /// Begins a claim, when the node's view names it home. Send claims to `predecessors` (the first ones of
+    /// rankHomes over all listed VMs, including dead ones, and the nodes that digests name as holder) and
+    /// repeat them until isAwaiting() is false. No effect while holding.
     void claim(std::span<const utils::node_id> predecessors, utils::time_point now);
-    /// The node's view names another home again. A claim kept for later would have its T run while that home
-    /// lives.
+    /// Withdraws the claim, when the node's view names another home again. If the claim were kept, its T
+    /// would elapse while that home is alive.
     void withdrawClaim();
-    /// Nodes that still have to answer the claim: send it to them again.
+    /// Returns the nodes that have not answered the claim yet; send it to them again.
     std::vector<utils::node_id> claimTargets() const;
-    /// Another node claims; `claimantOutranksSelf` by decisions::outranks. Idempotent, so a lost answer is
-    /// repaired by the next claim.
+    /// Handles the claim of another node; `claimantOutranksSelf` by decisions::outranks. Idempotent, so that
+    /// a repeated claim makes up for a lost answer.
     claim_answer onClaim(const utils::node_id& from, bool claimantOutranksSelf);
-    /// An answer to the own claim. Late and repeated answers are harmless.
+    /// Handles an answer to this node's claim. Late and repeated answers are harmless.
     void onClaimAnswer(const utils::node_id& from, const claim_answer& answer, utils::time_point now);
-    /// Membership: that node has been dead since then, i.e. was last heard then. Tell it again when that
+    /// Membership event: the node is dead and was last heard at `deadSince`. Call it again when that time
     /// changes.
     void onNodeDead(const utils::node_id& node, utils::time_point deadSince);
-    /// Membership: that node lives after all.
+    /// Membership event: the node is alive.
     void onNodeAlive(const utils::node_id& node);
-    /// A digest names `node` as holder of the server. Finds holders that rank too low to be among the
-    /// predecessors, and ends two holders that a mass replacement of VMs could leave.
+    /// Handles a digest that names `node` as holder of the server. Finds holders that rank too low to be
+    /// among the predecessors, and resolves the double holding that a mass replacement of VMs could leave.
     void onHolderAnnounced(const utils::node_id& node, bool outranksSelf);
-    /// The old home tells how many of its requests are still in flight.
+    /// Handles the old home's count of its requests that are still in flight.
     void onRemainingInFlight(unsigned inFlight);
-    /// The node lost its currency for longer than T: another may hold the server now, so it claims again.
+    /// Releases the server when this node's view was stale for longer than T: another node may hold it now,
+    /// so this node has to claim it again.
     void onViewStale();
-    /// The server's own report; also while awaiting: a claimant that no holder answers takes over what it
-    /// shows, and does not dispatch before it has one (unless the server has not reported for
-    /// reportLifetime).
+    /// Handles the server's own report, also while awaiting a handover: a claimant that no holder answers
+    /// inherits the count in the report, and does not dispatch before it has one (unless the server has not
+    /// reported for reportLifetime).
     void onServerReport(const server_report& report, utils::time_point now);
-    /// The document changed the server's slots, or its ramp-up moved on (rampUpWeight).
+    /// Sets slots and ramp-up, when the document changed the slots or the ramp-up has grown (rampUpWeight).
     void setCapacity(unsigned slots, double rampUp);
 
-    /// Whether a request would be admitted now. `holdsCache`: the server holds the chat's prefix.
+    /// Returns whether a request would be admitted now. `holdsCache`: the server holds the chat's prefix.
     admit_verdict check(
         bool holdsCache, const load_bound& bound, const fleet_state& fleet, utils::time_point now);
-    /// As check, and counts the request under `ticket`. Call it immediately before the bytes go out.
+    /// As check(), and counts an admitted request under `ticket`. Call it immediately before the request is
+    /// sent.
     admit_verdict admit(std::uint64_t ticket, bool holdsCache, const load_bound& bound,
         const fleet_state& fleet, utils::time_point now);
-    /// The request ended, whatever way. Unknown and repeated tickets are ignored.
+    /// Removes a request that ended, with or without success. Ignores unknown and repeated tickets.
     void finish(std::uint64_t ticket, utils::time_point now);
 
-    /// What the bound counts: own requests, those of the old home, and those that only the server's reports
-    /// show.
+    /// Returns the load that the bound applies to: own requests plus those inherited from the old home or, if
+    /// larger, those that only the server's reports show.
     unsigned load(utils::time_point now) const;
     unsigned ownInFlight() const { return static_cast<unsigned>(m_tickets.size()); }
     unsigned slots() const { return m_slots; }
-    /// Slots x ramp-up: what bound and mean weigh the server by.
+    /// Slots x ramp-up: the server's weight in the bound and the mean.
     double weight() const { return m_slots * m_rampUp; }
     home_state state() const { return m_state; }
     bool isAwaiting() const { return m_state == home_state::AwaitingHandover; }
@@ -166,8 +172,8 @@
     utils::time_point m_heldSince;
     std::unordered_set<std::uint64_t> m_tickets;
     std::deque<count_sample> m_history;
-    unsigned m_inherited = 0; ///< of the old home, still in flight
-    unsigned m_unattributed = 0; ///< on the server by its report, but dispatched by nobody known
+    unsigned m_inherited = 0; ///< requests of the old home that are still in flight
+    unsigned m_unattributed = 0; ///< requests in the server's report that this home did not dispatch
     utils::time_point m_reportedAt;
 };
 
--- a/src/libs/decisions/latencyquantile.h
+++ b/src/libs/decisions/latencyquantile.h
@@ -14,7 +14,7 @@
     explicit latency_quantile(std::size_t window = 256);
 
     void add(utils::duration sample);
-    /// The q-quantile, 0 <= q <= 1; zero without samples.
+    /// Returns the q-quantile, 0 <= q <= 1; zero without samples.
     utils::duration at(double q) const;
     std::size_t count() const { return m_samples.size(); }
 
--- a/src/libs/decisions/loadbound.cpp
+++ b/src/libs/decisions/loadbound.cpp
@@ -9,7 +9,7 @@
 {
     if (mean.totalSlots <= 0)
         return 1;
-    constexpr double epsilon = 1e-9; // sums of loads divided by slots are off by less
+    constexpr double epsilon = 1e-9; // above the rounding error of sums of loads divided by slots
     const double newRequest = 1.0 / mean.totalSlots;
     const double expected = (mean.perSlot + newRequest) * slots;
     const double lowest = (std::min(mean.perSlot, mean.lowestPerSlot) + newRequest) * slots;
--- a/src/libs/decisions/loadview.cpp
+++ b/src/libs/decisions/loadview.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Sums of one pass over the entries.
+/// Sums over the entries.
 struct load_sums {
     double inFlight = 0;
     double slots = 0;
@@ -39,40 +39,40 @@
     const auto found = m_index.find(server);
     if (found == m_index.end())
         return;
-    const auto place = found->second;
+    const auto position = found->second;
     m_index.erase(found);
-    if (place + 1 != m_entries.size()) {
-        m_entries[place] = m_entries.back();
-        m_index[m_entries[place].server] = place;
+    if (position + 1 != m_entries.size()) {
+        m_entries[position] = m_entries.back();
+        m_index[m_entries[position].server] = position;
     }
     m_entries.pop_back();
 }
 
 mean_load load_view::mean(utils::time_point now) const
 {
-    load_sums living;
+    load_sums fresh;
     for (const auto& entry : m_entries) {
         if (now - entry.countedAt <= entryLifetime)
-            living.add(entry);
+            fresh.add(entry);
     }
-    const double slots = std::max(living.slots, m_poolSlots);
+    const double slots = std::max(fresh.slots, m_poolSlots);
     if (slots <= 0)
         return {};
-    return { living.inFlight / slots, slots };
+    return { fresh.inFlight / slots, slots };
 }
 
 mean_load load_view::observe(utils::time_point now)
 {
     constexpr utils::duration grain = std::chrono::seconds(1);
-    auto present = mean(now);
+    auto current = mean(now);
     if (m_lows.empty() || now - m_lows.back().begin >= grain)
-        m_lows.push_back({ now, present.perSlot });
-    m_lows.back().perSlot = std::min(m_lows.back().perSlot, present.perSlot);
+        m_lows.push_back({ now, current.perSlot });
+    m_lows.back().perSlot = std::min(m_lows.back().perSlot, current.perSlot);
     while (now - m_lows.front().begin > lowestWindow)
         m_lows.pop_front();
     for (const auto& low : m_lows)
-        present.lowestPerSlot = std::min(present.lowestPerSlot, low.perSlot);
-    return present;
+        current.lowestPerSlot = std::min(current.lowestPerSlot, low.perSlot);
+    return current;
 }
 
 std::vector<load_entry> load_view::youngest(std::size_t limit) const
--- a/src/libs/decisions/outlierejector.cpp
+++ b/src/libs/decisions/outlierejector.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-// With a fifth, the average of a healthy server's exponential latencies strays beyond three times the median
-// once in some thousand answers, and healthy servers were ejected; with a twentieth it does not.
-constexpr double averaging = 0.05;
+// With 0.2, the average of a healthy server's exponentially distributed latencies exceeds three times the
+// median once in some thousand answers, and healthy servers were ejected; with 0.05 it does not.
+constexpr double smoothing = 0.05;
 
 } // namespace
 
@@ -36,7 +36,7 @@
     server_state& state = found->second;
     state.failures = 0;
     const double sample = utils::toSeconds(latency);
-    state.latency = state.samples == 0 ? sample : state.latency + averaging * (sample - state.latency);
+    state.latency = state.samples == 0 ? sample : state.latency + smoothing * (sample - state.latency);
     ++state.samples;
     const bool isRampOver = now >= state.ejectedUntil + m_limits.ramp;
     const bool isLagging = state.samples >= m_limits.minSamples
@@ -56,7 +56,7 @@
     ++state.failures;
     if (isEjected(state, now))
         return;
-    // While it is being probed back one failure is enough: its last word was that it fails.
+    // During the ramp one failure is enough: the server's last known state is failing.
     const bool isProbed = state.ejections > 0 && now < state.ejectedUntil + m_limits.ramp;
     if (isProbed || state.failures >= m_limits.consecutiveFailures)
         eject(state, now);
--- a/src/libs/decisions/outlierejector.h
+++ b/src/libs/decisions/outlierejector.h
@@ -10,33 +10,34 @@
 
 /// Settings of outlier ejection.
 struct outlier_limits {
-    unsigned consecutiveFailures = 5; ///< one crash's cut streams come in a row, so fewer would eject on one
+    unsigned consecutiveFailures = 5; ///< one crash breaks several streams in a row; fewer would eject on it
     double latencyFactor = 3; ///< times the median of the peers
     std::size_t minSamples = 10; ///< latency samples before a server is compared
-    double floor = 0.5; ///< part of the servers that is never ejected
+    double floor = 0.5; ///< fraction of the servers that is never ejected
     utils::duration ejection = std::chrono::seconds(10); ///< doubles with each ejection in a row
     utils::duration maxEjection = std::chrono::minutes(5);
-    utils::duration ramp = std::chrono::seconds(20); ///< from probe weight to full weight
+    utils::duration ramp = std::chrono::seconds(20); ///< time from probe weight to full weight
     double probeWeight = 0.05;
 };
 
-/// Takes servers that fail or lag against their peers out of the choice, and probes them back in.
+/// Ejects servers that fail or are much slower than their peers, and readmits them at a low weight that
+/// grows.
 ///
-/// Load: a slow or failing server. Without it the failing server, which answers fastest, draws the most
-/// requests; the slow one holds its share of callers until they give up. The floor: when the cause is
-/// common (platform, network), ejecting everyone would turn slow into down. After an ejection the server
-/// gets a small share that grows, so that a server that is still ill costs few requests.
+/// Load: a slow or failing server. Without ejection, a failing server, which answers fastest, attracts the
+/// most requests, and a slow one keeps its share of callers waiting until they give up. The floor: when the
+/// cause is common (platform, network), ejecting all servers would turn slow service into an outage. After an
+/// ejection the server gets a small share that grows, so that a server that still fails costs few requests.
 /// Not thread safe.
 class outlier_ejector {
 public:
     explicit outlier_ejector(const outlier_limits& limits = {});
 
-    /// The servers there are; unknown ones start in full weight, missing ones are forgotten.
+    /// Sets the current servers; new ones start at full weight, missing ones are removed.
     void setServers(const std::vector<utils::server_id>& servers);
     void succeeded(const utils::server_id& server, utils::duration latency, utils::time_point now);
     void failed(const utils::server_id& server, utils::time_point now);
 
-    /// Share of its normal load that the server should get: 0 while ejected, growing to 1 after it.
+    /// Returns the share of its normal load that the server should get: 0 while ejected, then growing to 1.
     double weight(const utils::server_id& server, utils::time_point now) const;
     std::size_t ejectedCount(utils::time_point now) const;
 
@@ -44,7 +45,7 @@
     struct server_state {
         unsigned failures = 0; ///< in a row
         unsigned ejections = 0; ///< in a row
-        double latency = 0; ///< moving average, seconds
+        double latency = 0; ///< exponential moving average, seconds
         std::size_t samples = 0;
         utils::time_point ejectedUntil {};
     };
--- a/src/libs/decisions/prefixindex.h
+++ b/src/libs/decisions/prefixindex.h
@@ -10,7 +10,7 @@
 
 namespace decisions {
 
-/// A part of a prompt that requests may share.
+/// A part of a prompt. Requests may share all parts but the last one.
 struct prompt_part {
     std::uint64_t id = 0;
     std::uint32_t tokens = 0;
@@ -18,21 +18,21 @@
     template <class Archive> void serialize(Archive& archive) { archive(id, tokens); }
 };
 
-/// Which parts of prompts an engine is thought to hold, from what this node has sent there. The parts least
-/// recently used go first, as in the engine. Not thread safe.
+/// Estimate of the prompt parts in an engine's KV cache, from the requests that were sent there. Evicts the
+/// least recently used parts, as the engine does. Not thread safe.
 class prefix_index {
 public:
-    /// `capacity` in tokens: what the engine keeps of parts.
+    /// `capacity`: tokens that the engine's cache holds.
     explicit prefix_index(std::uint64_t capacity)
         : m_capacity(capacity)
     {
     }
 
-    /// A request with these parts was sent there.
+    /// Records that a request with these parts was sent to the engine.
     void touch(std::span<const prompt_part> parts);
-    /// The engine has not read these parts after all.
+    /// Removes parts whose prefill did not finish.
     void forget(std::span<const prompt_part> parts);
-    /// Tokens that the engine need not read: of the leading parts that it holds.
+    /// Returns the tokens of the leading parts that the engine holds, for which it needs no prefill.
     std::uint32_t heldTokens(std::span<const prompt_part> parts) const;
 
 private:
--- a/src/libs/decisions/recentfailures.cpp
+++ b/src/libs/decisions/recentfailures.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr double forgotten = 0.01; // of a failure: thirteen seconds after one
-constexpr double minSharedFailures = 0.5; // of a failure: what routes fail by themselves adds up to less
+constexpr double expiredCount = 0.01; // reached thirteen seconds after a single failure
+constexpr double minSharedFailures = 0.5; // above what the routes' baseline failures add up to
 
 } // namespace
 
@@ -58,7 +58,7 @@
 
 void recent_failures::expire(utils::time_point now)
 {
-    std::erase_if(m_counts, [&](const auto& entry) { return valueAt(entry.second, now) < forgotten; });
+    std::erase_if(m_counts, [&](const auto& entry) { return valueAt(entry.second, now) < expiredCount; });
     std::erase_if(m_unsent, [&](const auto& entry) { return !m_counts.contains(entry.first); });
 }
 
--- a/src/libs/decisions/recentfailures.h
+++ b/src/libs/decisions/recentfailures.h
@@ -10,38 +10,39 @@
 
 namespace decisions {
 
-/// Failures at a backend server, to be told to other nodes.
+/// Message to other nodes: failures at a backend server.
 struct failure_update {
     utils::server_id server;
-    float failures = 0; ///< beyond what its routes' requests fail by themselves
+    float failures = 0; ///< in excess of the routes' baseline failure rates
 };
 
-/// How many requests have failed at each backend server in the last seconds, in the whole fleet.
+/// Counts the requests that failed at each backend server in the last seconds, over all nodes.
 ///
-/// Load: servers that answer their health checks and most requests, but lose or break off a part of the
-/// answers. An ejector that waits for failures in a row never sees it, and each payment that is cut is lost:
-/// whether it ran is not known. With servers to spare, the ones that failed last need not be asked. Some
-/// routes fail a part of their requests wherever they run; that part is learned and does not count. Each
-/// node sees a sliver, one request a second at a server, so nodes tell each other; failures are few, and so
-/// are notes. Counts are absolute: where all servers fail alike they prefer none. Not thread safe.
+/// Load: servers that pass their health checks and answer most requests, but lose or truncate some of the
+/// answers. An ejector that counts consecutive failures never detects them, and each payment whose answer is
+/// cut off is lost: whether it was executed is not known. While other servers have capacity, the ones with
+/// recent failures can be avoided. Some routes fail a part of their requests on any server; that baseline is
+/// learned and does not count. Each node sees only about one request a second at a server, so nodes exchange
+/// their failures; failures are rare, so the updates are few. Counts are absolute: when all servers fail
+/// alike, none is preferred. Not thread safe.
 class recent_failures {
 public:
-    /// In which a failure loses half its count: long enough to have seen some 15 requests at a server of a
-    /// small fleet, short enough to be over soon after the fault.
+    /// Half-life of a failure's count: long enough to see some 15 requests at a server of a small fleet,
+    /// short enough that the count is low soon after the fault ends.
     static constexpr utils::duration halfLife = std::chrono::seconds(2);
-    /// Requests over which a route's own share of failures is learned.
+    /// Number of requests over which a route's baseline failure rate is averaged.
     static constexpr double baselineRequests = 50;
 
-    /// A request of the route has ended at the server.
+    /// Records the outcome of a request of the route at the server.
     void recordOutcome(
         const std::string& route, const utils::server_id& server, bool isFailure, utils::time_point now);
-    /// Another node tells of failures there.
+    /// Applies an update from another node.
     void applyUpdate(const failure_update& update, utils::time_point now);
-    /// Failures there, each counted by its age.
+    /// Returns the failures at the server, each decayed by its age.
     double countAt(const utils::server_id& server, utils::time_point now) const;
-    /// What other nodes should learn, once.
+    /// Returns the pending updates for other nodes and clears them.
     std::vector<failure_update> takeUpdates();
-    /// Forgets servers without failures. Call now and then.
+    /// Removes servers without recent failures. Call it periodically.
     void expire(utils::time_point now);
 
 private:
@@ -54,7 +55,7 @@
     double updateBaseline(const std::string& route, bool isFailure);
 
     std::unordered_map<utils::server_id, decayed_count> m_counts;
-    std::map<std::string, double> m_baselines; ///< by route: share of its requests that fails anyway
+    std::map<std::string, double> m_baselines; ///< by route: failure rate on any server
     std::map<utils::server_id, double> m_unsent;
 };
 
--- a/src/libs/decisions/responsetimes.cpp
+++ b/src/libs/decisions/responsetimes.cpp
@@ -8,26 +8,27 @@
 
 namespace {
 
-constexpr double memoryTokens = 200000; // after so many tokens read a sample has lost 63% of its weight
-constexpr std::uint32_t leastTokens = 500; // fewer tell more of the base than of the reading
-constexpr double gain = 1.0 / 32; // of a new sample in the averages of base and deviation
-constexpr double occupancyGain = 1.0 / 64; // answers of one service differ by a hundred times in length
-constexpr unsigned reservedPart = 8; // one in so many slots is left to more urgent work
-constexpr double workKept = 1 - 1.0 / 256; // of the work counted, with each request
+constexpr double decayTokens = 200000; // a sample's weight falls by 63 % in this number of prefilled tokens
+constexpr std::uint32_t minSampleTokens = 500; // with fewer tokens the base time outweighs the prefill
+constexpr double baseSmoothing = 1.0 / 32; // weight of a new sample in the averages of base and deviation
+constexpr double occupancySmoothing = 1.0 / 64; // answer lengths of one service vary by a factor of 100
+constexpr unsigned slotsPerReserved = 8; // one of these slots is reserved for more urgent work
+constexpr double slotTimeDecay = 1 - 1.0 / 256; // per request, of the slot time by urgency
 
 } // namespace
 
 void response_times::recordFirstByte(std::uint32_t tokens, utils::duration elapsed)
 {
     const double seconds = utils::toSeconds(elapsed);
-    const double read = tokens;
-    m_deviation += gain * (std::abs(seconds - utils::toSeconds(forecast(tokens).expected())) - m_deviation);
-    if (tokens >= leastTokens) {
-        const double kept = std::exp(-read / memoryTokens);
-        m_tokenSquares = kept * m_tokenSquares + read * read;
-        m_tokenSeconds = kept * m_tokenSeconds + read * std::max(0.0, seconds - m_base);
+    const double prefilled = tokens;
+    m_deviation
+        += baseSmoothing * (std::abs(seconds - utils::toSeconds(forecast(tokens).expected())) - m_deviation);
+    if (tokens >= minSampleTokens) {
+        const double decay = std::exp(-prefilled / decayTokens);
+        m_tokenSquares = decay * m_tokenSquares + prefilled * prefilled;
+        m_tokenSeconds = decay * m_tokenSeconds + prefilled * std::max(0.0, seconds - m_base);
     }
-    m_base += gain * (std::max(0.0, seconds - read * secondsPerToken()) - m_base);
+    m_base += baseSmoothing * (std::max(0.0, seconds - prefilled * secondsPerToken()) - m_base);
 }
 
 response_forecast response_times::forecast(std::uint32_t tokens) const
@@ -39,9 +40,9 @@
 void response_times::recordOccupancy(int urgency, utils::duration occupied)
 {
     const double seconds = utils::toSeconds(occupied);
-    m_occupancy += occupancyGain * (seconds - m_occupancy);
-    for (double& work : m_slotSeconds)
-        work *= workKept;
+    m_occupancy += occupancySmoothing * (seconds - m_occupancy);
+    for (double& slotTime : m_slotSeconds)
+        slotTime *= slotTimeDecay;
     m_slotSeconds[urgencyIndex(urgency)] += seconds;
 }
 
@@ -49,7 +50,7 @@
 {
     const auto own = m_slotSeconds.begin() + urgencyIndex(urgency);
     const double moreUrgent = std::accumulate(m_slotSeconds.begin(), own, 0.0);
-    const unsigned usable = moreUrgent > 0 ? slots - slots / reservedPart : slots;
+    const unsigned usable = moreUrgent > 0 ? slots - slots / slotsPerReserved : slots;
     if (requests < usable || slots == 0)
         return utils::duration::zero();
     const double all = std::accumulate(own, m_slotSeconds.end(), moreUrgent);
--- a/src/libs/decisions/responsetimes.h
+++ b/src/libs/decisions/responsetimes.h
@@ -9,31 +9,32 @@
 
 namespace decisions {
 
-/// When the first event or byte of an answer is expected, counted from the sending of its request.
+/// Forecast of the time from sending a request to the first event or byte of its answer.
 struct response_forecast {
-    utils::duration prefill {}; ///< of the prompt tokens that the server reads before
-    utils::duration base {}; ///< everything else; of a plain service the work itself
+    utils::duration prefill {}; ///< prefill of the prompt tokens that the server processes before
+    utils::duration base {}; ///< everything else; for a plain service the work itself
     utils::duration deviation {}; ///< mean absolute error of past forecasts
 
     utils::duration expected() const { return prefill + base; }
-    /// Hardly any answer begins later: what takes longer is a sign of a fault.
+    /// Hardly any answer begins later: a longer wait indicates a fault.
     utils::duration latest() const { return 2 * prefill + base + 4 * deviation; }
 };
 
-/// How fast the backend servers of one service answer, learned from the answers that pass by.
+/// Estimates how fast the backend servers of one service answer, from the answers that this node relays.
 ///
-/// Load: engines of any speed. An engine that reads a long prompt alone says nothing until it is read: with
-/// a limit fit for fast engines, slow ones are taken for dark in the middle of it, the prompt is begun anew
-/// elsewhere, and no engine ever ends it. And servers without a free slot, where a request waits for those
-/// before it: engines take the more urgent first. Not thread safe.
+/// Load: engines of any speed. An engine that prefills a long prompt and runs nothing else sends nothing
+/// until the prefill is finished. With a timeout that suits fast engines, slow ones are treated as failed
+/// during the prefill, the prompt is started again on another engine, and no engine ever finishes it. Also
+/// servers without a free slot, where a request waits for those before it; engines take more urgent requests
+/// first. Not thread safe.
 class response_times {
 public:
-    /// Until answers have come, an engine is taken to read so many tokens a second.
+    /// Assumed prefill speed of an engine before any answers were measured.
     static constexpr double initialTokensPerSecond = 25000;
-    /// Until answers have come, this long for all but reading, and as the deviation.
+    /// Assumed base time and deviation before any answers were measured.
     static constexpr utils::duration initialBase = std::chrono::milliseconds(20);
 
-    /// Until answers have come, a request is taken to occupy a slot for so long.
+    /// Assumed time that a request occupies a slot, before any answers were measured.
     static constexpr utils::duration initialOccupancy = std::chrono::milliseconds(100);
     static constexpr utils::duration initialStreamOccupancy = std::chrono::seconds(1);
 
@@ -42,32 +43,34 @@
     {
     }
 
-    /// An answer began after `elapsed`, with `tokens` of prompts read before by the server as far as known.
-    /// Precondition: the request did not wait for a slot.
+    /// Records that an answer began after `elapsed`. `tokens`: prompt tokens that the server prefilled
+    /// before, as far as known. Precondition: the request did not wait for a slot.
     void recordFirstByte(std::uint32_t tokens, utils::duration elapsed);
 
-    /// A request of that urgency has occupied a slot for so long.
+    /// Records that a request of that urgency has occupied a slot for the time `occupied`.
     void recordOccupancy(int urgency, utils::duration occupied);
 
-    /// With so many tokens to be read before the answer.
+    /// Forecast for an answer before which `tokens` prompt tokens are prefilled.
     response_forecast forecast(std::uint32_t tokens) const;
+    /// Prefill time of one token.
     double secondsPerToken() const { return m_tokenSeconds / m_tokenSquares; }
-    /// How long a request occupies a slot, on average.
+    /// Mean time that a request occupies a slot, in seconds.
     double occupancySeconds() const { return m_occupancy; }
-    /// How long a request of that urgency waits for a slot where so many have been sent before it. What is
-    /// less urgent than other work leaves it some slots: else each urgent request interrupts one that runs.
+    /// Returns how long a request of that urgency waits for a slot on a server with `slots` slots to which
+    /// `requests` were sent before it. Less urgent requests leave some slots to more urgent ones: otherwise
+    /// each urgent request interrupts a running one.
     utils::duration slotWait(unsigned requests, unsigned slots, int urgency) const;
 
 private:
-    // Weighted sums of a regression of time over tokens through the base. Older samples lose weight with
-    // the tokens that later ones read, so short prompts do not wash out what long ones have told.
+    // Weighted sums of a linear regression of time over tokens with m_base as intercept. A sample's weight
+    // decays with the tokens of later samples, so that many short prompts do not displace the long ones.
     static constexpr double initialWeightTokens = 3000; ///< tokens
     double m_tokenSquares = initialWeightTokens * initialWeightTokens;
     double m_tokenSeconds = initialWeightTokens * initialWeightTokens / initialTokensPerSecond;
     double m_base = utils::toSeconds(initialBase);
     double m_deviation = utils::toSeconds(initialBase);
     double m_occupancy;
-    std::array<double, urgencies> m_slotSeconds {}; ///< slot time taken of late, by urgency
+    std::array<double, urgencies> m_slotSeconds {}; ///< recent slot time, by urgency
 };
 
 } // namespace decisions
--- a/src/libs/decisions/serverchoice.cpp
+++ b/src/libs/decisions/serverchoice.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// The parts that other requests share: all but the last, which is the request's own.
+/// Returns the parts that other requests may share: all but the last, which is the request's own.
 std::span<const prompt_part> sharedOf(std::span<const prompt_part> parts)
 {
     return parts.empty() ? parts : parts.first(parts.size() - 1);
@@ -24,19 +24,19 @@
     return tokens;
 }
 
-/// Rank of a server for a prompt, the same on every node; the highest is first.
+/// Rendezvous hash score of a server for a prompt, the same on every node; the highest ranks first.
 double rankOf(const server_candidate& candidate, std::uint64_t key)
 {
     const std::uint64_t mixed = utils::combineHashes(key, utils::hash64(candidate.id.str()));
     return candidate.weight / -std::log(utils::toUnitInterval(mixed));
 }
 
-/// What speaks against an engine besides its work, as a part of the target.
+/// Returns the cost of an engine besides its work, as a fraction of the target.
 double penaltyOf(const server_candidate& candidate)
 {
     const double failed = server_choice::penaltyPerFailure * candidate.recentFailures;
-    const double unproven = server_choice::rampUpPenalty * (1 - candidate.weight);
-    return std::min(failed + unproven, server_choice::maxPenalty);
+    const double rampingUp = server_choice::rampUpPenalty * (1 - candidate.weight);
+    return std::min(failed + rampingUp, server_choice::maxPenalty);
 }
 
 double tieBreak(const server_candidate& candidate, std::uint64_t salt)
@@ -61,7 +61,7 @@
         if (candidate.weight <= 0)
             continue;
         const load_total load = loads.total(candidate.id, now);
-        // Running requests cost nothing while there are slots, but for the risk that others send there too.
+        // While there are free slots, running requests cost only the risk that other nodes send there too.
         double cost = load.requests / candidate.weight;
         if (load.requests >= candidate.slots)
             cost += candidate.slots;
@@ -95,16 +95,16 @@
 
 void server_choice::boundEngines(std::vector<engine_view>& views, double mean)
 {
-    // The bound is the same for engines of little weight: with a lower one all engines can be above their
-    // bounds, and then the few trusted ones got the rest.
+    // Engines of low weight have the same bound: with a lower one, all engines could be above their bounds,
+    // and then the few engines without a penalty got all further requests.
     const double bound = boundFactor * mean + boundExtra;
     const double highLoad = highLoadFactor * mean + highLoadExtra;
-    const double maxPenaltyOfAll = std::ranges::max(views, {}, &engine_view::penalty).penalty;
+    const double highestPenalty = std::ranges::max(views, {}, &engine_view::penalty).penalty;
     for (engine_view& view : views) {
         const double load = view.load.requests + 1;
         view.isInBound = load <= bound;
         if (load > highLoad)
-            view.penalty = maxPenaltyOfAll;
+            view.penalty = highestPenalty;
     }
 }
 
@@ -134,12 +134,13 @@
 {
     const response_times& times = query.times;
     const unsigned slots = view.candidate->slots;
-    const double unheld = std::max(0.0, query.promptTokens - heldTokens);
-    const double prefill = (view.load.promptTokens + prefillCostFactor * unheld) * times.secondsPerToken();
+    const double unheldTokens = std::max(0.0, query.promptTokens - heldTokens);
+    const double prefill
+        = (view.load.promptTokens + prefillCostFactor * unheldTokens) * times.secondsPerToken();
     const double wait = utils::toSeconds(times.slotWait(view.load.requests, slots, query.urgency));
     const double steps = fullEngineSlowdown * times.occupancySeconds() * view.load.requests / slots;
     const double penalty = view.penalty * utils::toSeconds(query.target);
-    constexpr double tieSeconds = 1e-5; // orders equals only
+    constexpr double tieSeconds = 1e-5; // small enough to order only engines of equal cost
     return prefill + wait + steps + penalty + tieSeconds * tieBreak(*view.candidate, query.salt);
 }
 
@@ -174,10 +175,10 @@
     for (const server_candidate& holder : holders) {
         if (holder.id == chosen.id || holder.weight <= 0)
             continue;
-        const std::uint32_t there = heldTokens(holder, shared);
-        const std::uint32_t more = there - std::min(held, there);
-        if (more >= minCopyTokens && (!best || more > best->tokens))
-            best = cache_source { holder.id, more };
+        const std::uint32_t holderTokens = heldTokens(holder, shared);
+        const std::uint32_t surplus = holderTokens - std::min(held, holderTokens);
+        if (surplus >= minCopyTokens && (!best || surplus > best->tokens))
+            best = cache_source { holder.id, surplus };
     }
     return best;
 }
@@ -200,9 +201,9 @@
 {
     if (server.cacheTokens == 0)
         return;
-    std::uint32_t before = 0;
-    while (!parts.empty() && before + parts.front().tokens <= heldTokens) {
-        before += parts.front().tokens;
+    std::uint32_t skippedTokens = 0;
+    while (!parts.empty() && skippedTokens + parts.front().tokens <= heldTokens) {
+        skippedTokens += parts.front().tokens;
         parts = parts.subspan(1);
     }
     prefixesOf(server.id, server.startedAtMs, server.cacheTokens).forget(parts);
--- a/src/libs/decisions/serverchoice.h
+++ b/src/libs/decisions/serverchoice.h
@@ -21,109 +21,118 @@
     utils::server_id id;
     std::string dataCentre;
     unsigned slots = 1;
-    double weight = 1; ///< part of its normal load that it should get, 0 to 1
-    std::uint64_t cacheTokens = 0; ///< 0 for a plain service
-    std::uint64_t startedAtMs = 0; ///< tells two lives of a server apart: a new one holds nothing
+    double weight = 1; ///< share of its normal load that it should get, 0 to 1
+    std::uint64_t cacheTokens = 0; ///< capacity of its KV cache; 0 for a plain service
+    std::uint64_t startedAtMs = 0; ///< start time; a restarted server has a new value and an empty cache
     double recentFailures = 0; ///< requests that failed there in the last seconds, see recent_failures
 };
 
-/// Tells other nodes where shared parts of a prompt were sent.
+/// Message to other nodes: shared parts of a prompt were sent to a backend server, or withdrawn from it.
 struct placement_update {
     std::string server;
     std::uint64_t startedAtMs = 0;
     std::vector<prompt_part> parts;
-    bool isWithdrawn = false; ///< they were not read there after all
+    bool isWithdrawn = false; ///< the request ended before the prefill finished, so they are not held
 };
 
-/// What is to be placed.
+/// The request to be placed.
 struct placement_query {
     std::span<const prompt_part> parts; ///< of the prompt, shared ones first; empty for a plain service
     std::uint32_t promptTokens = 0;
     std::string dataCentre; ///< of this node
-    std::uint64_t salt = 0; ///< orders equal candidates; differs from request to request
+    std::uint64_t salt = 0; ///< breaks ties between equal candidates; differs from request to request
     int urgency = 0; ///< 0 is the most urgent
-    utils::duration target = std::chrono::seconds(1); ///< in which the answer should begin
-    response_times times = response_times(); ///< of the service
+    utils::duration target = std::chrono::seconds(1); ///< time to the first byte of the answer
+    response_times times = response_times(); ///< response times of the service
 };
 
-/// An engine from which another can copy parts of a prompt in place of reading them.
+/// An engine from which another one can copy cached parts of a prompt instead of computing them (prefill).
 struct cache_source {
     utils::server_id server;
-    std::uint32_t tokens = 0; ///< that it is thought to hold beyond what the copying one holds
+    std::uint32_t tokens = 0; ///< estimate of what it holds beyond what the copying engine holds
 };
 
-/// The chosen server and the figures that decided, for the log.
+/// The chosen server and the figures behind the choice, for the log.
 struct placement {
     utils::server_id server;
-    load_total load; ///< of all nodes there, before this request
-    std::uint32_t heldTokens = 0; ///< of the prompt, thought to be held there
-    double cost = 0; ///< of the chosen one: seconds of an engine, running requests of a plain service
+    load_total load; ///< load of the server from all nodes, before this request
+    std::uint32_t heldTokens = 0; ///< estimate of the prompt tokens that the server holds in its cache
+    double cost = 0; ///< of the chosen server: seconds for an engine, running requests for a plain service
 };
 
 /// Chooses a backend server for a request by the work that the request would wait for there.
 ///
-/// Load: prompts with long shared parts over a dozen engines, with hot parts and bursts. By load alone each
-/// engine reads each shared part; by affinity alone the engine of a hot part falls behind. So a
-/// server's cost is counted in seconds: for the prompt tokens that wait there, for those of this prompt that
-/// it does not hold, for a slot, and for what each request that runs there takes of the engine's steps. Not
-/// thread safe.
+/// Load: prompts with long shared parts over a dozen engines, with hot parts and bursts. Placement by load
+/// alone makes each engine prefill each shared part; placement by cache affinity alone overloads the engine
+/// that holds a hot part. An engine's cost is therefore the sum, in seconds, of: prefill of the prompt tokens
+/// that wait there, prefill of this prompt's tokens that it does not hold, the wait for a slot, and the
+/// slowdown of its steps by the requests that run there. Not thread safe.
 class server_choice {
 public:
-    /// A server above this multiple of the mean load, plus `boundExtra`, is passed over: a little below where
-    /// it counts as overloaded (twice the mean, and three), since loads of peers are some ms old.
+    /// A server above this multiple of the mean load, plus `boundExtra`, is chosen only when all are.
+    /// Slightly below the overload limit (twice the mean, plus three), since the loads of peers are some ms
+    /// old.
     static constexpr double boundFactor = 1.8;
     static constexpr double boundExtra = 2.8;
-    /// What a token to be read costs against one that waits to be read there: a short wait is within every
-    /// target, while a part that is read twice takes the time of all that run there, and memory.
+    /// Cost of prefilling a token of this prompt, relative to a token of another prompt that waits there. A
+    /// short wait is within every target, while a part that is prefilled on a second engine delays all
+    /// requests that run there and takes memory.
     static constexpr double prefillCostFactor = 8;
-    /// What all requests of a full engine cost a new one, as a part of the time that it will take: each makes
-    /// every step a little longer.
+    /// Cost that the requests of a full engine add to a new one, as a fraction of its expected duration: each
+    /// running request makes every step slightly longer.
     static constexpr double fullEngineSlowdown = 0.03;
-    /// Part of the shared tokens that the first engine of their ranking is thought to hold where none is
-    /// known to: nodes rank alike, so one that knows nothing finds what others have sent. Where a holder is
-    /// known the ranking says nothing: engines that came later are first of some rankings and hold nothing.
+    /// Fraction of the shared tokens that the first engine of their ranking is presumed to hold when no
+    /// engine is known to hold them. All nodes rank alike, so a node without information finds the engine to
+    /// which others have sent the parts. When a holder is known, the ranking is ignored: engines that were
+    /// added later are first in some rankings but hold nothing.
     static constexpr double presumedHeldShare = 0.8;
-    /// For a plain service: what a crossing between data centres costs, in parts of a running request. The
-    /// bytes between data centres are paid for; a queue is worse.
+    /// For a plain service: cost of sending to another data centre, in running requests. Traffic between data
+    /// centres is paid for, but a queue is worse.
     static constexpr double crossDataCentreCost = 0.6;
-    /// For a plain service: what a recent failure costs, in running requests. A running request costs little
-    /// while there are slots, a failed one all that it is worth; at full slots the queue is worse.
+    /// For a plain service: cost of a recent failure, in running requests. A running request costs little
+    /// while there are free slots, but a failed request is lost whole; when all slots are full the queue is
+    /// worse.
     static constexpr double failureCost = 1.5;
-    /// What a recent failure of an engine costs, as a part of the target, up to `maxPenalty`.
+    /// Cost of a recent failure of an engine, as a fraction of the target. All penalties of an engine
+    /// together are at most `maxPenalty`.
     static constexpr double penaltyPerFailure = 0.03;
     static constexpr double maxPenalty = 0.3;
-    /// Distrust of an engine of which hardly anything is known since it was left out, as a part of the
-    /// target.
+    /// Penalty of an engine whose weight still ramps up after an ejection, as a fraction of the target.
+    /// Little is known about the engine since it was left out. Scales with the missing weight.
     static constexpr double rampUpPenalty = 0.3;
-    /// Engines above this multiple of the mean load, plus `highLoadExtra`, are not preferred for the distrust
-    /// of others: all nodes prefer the same few then, and each knows the loads of the others a quarter of a
-    /// second late.
+    /// Engines above this multiple of the mean load, plus `highLoadExtra`, get the largest penalty of all
+    /// engines, so that the penalties of others do not make them preferred. Otherwise all nodes prefer the
+    /// same few engines, while each node knows the loads from the other nodes a quarter of a second late.
     static constexpr double highLoadFactor = 1.2;
     static constexpr double highLoadExtra = 1;
 
-    /// Nothing when there is no candidate of a weight above zero.
+    /// Returns nothing when no candidate has a weight above zero.
     std::optional<placement> choose(const std::vector<server_candidate>& candidates,
         const placement_query& query, const server_loads& loads, utils::time_point now) const;
-    /// The holder from which the chosen engine should copy shared parts of the prompt that it lacks; nothing
-    /// when none holds enough more. `holders` may include engines that take no requests any more.
+    /// Returns the holder from which the chosen engine should copy the shared parts that it lacks; nothing
+    /// when no holder has at least minCopyTokens more. `holders` may include engines that no longer take
+    /// requests.
     std::optional<cache_source> sourceFor(const server_candidate& chosen,
         const std::vector<server_candidate>& holders, std::span<const prompt_part> parts) const;
-    /// A request with these parts was sent there.
+    /// Records that a request with these parts was sent to the server.
     void recordSent(const server_candidate& server, std::span<const prompt_part> parts);
-    /// The request ended before its prompt was read; `heldTokens` of it were held before it was sent. What
-    /// came after them is not held, and whoever reads it there next needs the time to do so.
+    /// Records that a request ended before its prefill finished. `heldTokens` of its prompt were held before
+    /// it was sent; the parts after them are no longer counted as held, so that the next request with these
+    /// parts is given the time for their prefill.
     void recordWithdrawn(
         const server_candidate& server, std::span<const prompt_part> parts, std::uint32_t heldTokens);
-    /// Another node has sent a request with these parts there, or withdraws it.
+    /// Applies an update from another node. `cacheTokens`: cache capacity of the server that it names.
     void applyUpdate(const placement_update& update, std::uint64_t cacheTokens);
-    /// What other nodes should learn, once; bounded.
+    /// Returns the pending updates for other nodes and clears them; at most maxUpdates.
     std::vector<placement_update> takeUpdates();
 
-    /// Fewer tokens are read in about the time that it takes to begin a copy.
+    /// Prefill of fewer tokens takes about as long as starting a copy.
     static constexpr std::uint32_t minCopyTokens = 500;
-    /// Notes kept for the next beat: as many requests with shared parts as a busy node sends between two.
+    /// Updates kept for the next heartbeat: the number of requests with shared parts that a busy node sends
+    /// between two heartbeats.
     static constexpr std::size_t maxUpdates = 24;
-    /// Shared parts below this are not told: reading them takes a few ms, telling them to all costs more.
+    /// Shared parts with fewer tokens are not announced: their prefill takes a few ms, and announcing them to
+    /// all nodes costs more.
     static constexpr std::uint32_t minUpdateTokens = 200;
 
 private:
@@ -131,21 +140,21 @@
         const placement_query& query, const server_loads& loads, utils::time_point now) const;
     std::optional<placement> chooseEngine(const std::vector<server_candidate>& candidates,
         const placement_query& query, const server_loads& loads, utils::time_point now) const;
-    /// What is known of an engine that may be chosen.
+    /// State of an engine that may be chosen.
     struct engine_view {
         const server_candidate* candidate = nullptr;
         load_total load;
-        std::uint32_t heldTokens = 0; ///< of the prompt, as far as this node knows
-        double penalty = 0; ///< as a part of the target
+        std::uint32_t heldTokens = 0; ///< prompt tokens in its cache, as far as this node knows
+        double penalty = 0; ///< as a fraction of the target
         bool isInBound = false;
     };
     std::vector<engine_view> viewEngines(const std::vector<server_candidate>& candidates,
         const placement_query& query, const server_loads& loads, utils::time_point now) const;
-    /// The engine that most likely holds the shared parts when none is known to: the first of their ranking
-    /// within the bound. Null when one is known.
+    /// Returns the engine that most likely holds the shared parts when no engine is known to: the first one
+    /// of their ranking that is within the bound. Null when a holder is known.
     static const server_candidate* presumedHolder(
         const std::vector<engine_view>& views, const placement_query& query);
-    /// Marks the engines above the bound, and evens the distrust of the crowded ones out.
+    /// Marks the engines within the bound, and gives highly loaded engines the largest penalty of all.
     static void boundEngines(std::vector<engine_view>& views, double mean);
     static double costOf(const engine_view& view, const placement_query& query, double heldTokens);
     std::uint32_t heldTokens(const server_candidate& server, std::span<const prompt_part> parts) const;
--- a/src/libs/decisions/serverhealth.cpp
+++ b/src/libs/decisions/serverhealth.cpp
@@ -28,7 +28,7 @@
 void server_health::unreachable(const utils::server_id& server, utils::time_point now)
 {
     backoff_state& state = m_backoffs[server];
-    // Several attempts that failed together are one failure.
+    // Attempts that fail during the backoff belong to the failure that began it.
     if (now < state.until)
         return;
     state.until = now + state.next;
--- a/src/libs/decisions/serverhealth.h
+++ b/src/libs/decisions/serverhealth.h
@@ -8,16 +8,17 @@
 
 namespace decisions {
 
-/// Which backend servers of a service get how much of their normal load, by what this node has seen of them.
+/// Weights of a service's backend servers, from the outcomes of the requests that this node sent to them.
 ///
-/// Load: servers that crash, fall silent, or fail part of their requests while they call themselves sound.
-/// A server that cannot be connected to is left out at once and for a short time, whatever the others do:
-/// a request that was not sent loses nothing by being sent elsewhere. One that fails what it takes is
-/// ejected with a floor, since the cause may be common. Not thread safe.
+/// Load: servers that crash, stop responding, or fail part of their requests while they report themselves
+/// healthy. A server that refuses connections is left out at once for a short backoff, however many others
+/// are left out too: a request that was not sent can go to another server without loss. A server that fails
+/// requests after accepting them is ejected by an outlier_ejector, which keeps a minimum part of the servers,
+/// since the cause may be common to all. Not thread safe.
 class server_health {
 public:
-    /// First time that an unreachable server is left out; doubles up to `maxBackoff`. A crashed server is
-    /// back after some seconds, one that is replaced never.
+    /// First backoff of an unreachable server; doubles up to `maxBackoff`. A crashed server is back after
+    /// some seconds, a replaced one never.
     static constexpr utils::duration initialBackoff = std::chrono::milliseconds(400);
     static constexpr utils::duration maxBackoff = std::chrono::milliseconds(3200);
 
@@ -26,16 +27,16 @@
     {
     }
 
-    /// The servers of a service that there are now.
+    /// Sets the current servers of a service.
     void setServers(const std::string& service, const std::vector<utils::server_id>& servers);
     void succeeded(const std::string& service, const utils::server_id& server, utils::duration latency,
         utils::time_point now);
     void failed(const std::string& service, const utils::server_id& server, utils::time_point now);
-    /// It could not be connected to.
+    /// Records that the server could not be connected to.
     void unreachable(const utils::server_id& server, utils::time_point now);
-    /// Share of its normal load that it should get, 0 to 1.
+    /// Returns the share of its normal load that the server should get, 0 to 1.
     double weight(const std::string& service, const utils::server_id& server, utils::time_point now) const;
-    /// Whether it is left out because it could not be connected to.
+    /// Whether the server is left out because it could not be connected to.
     bool isInBackoff(const utils::server_id& server, utils::time_point now) const;
 
 private:
--- a/src/libs/decisions/serverload.cpp
+++ b/src/libs/decisions/serverload.cpp
@@ -60,7 +60,7 @@
     }
     const auto report = m_reports.find(server);
     if (report != m_reports.end() && now - report->second.at <= reportLifetime) {
-        // What the server told includes this node's share of that moment; only the rest is news.
+        // The report includes this node's share at that time; only the rest is from other nodes.
         const std::uint32_t others
             = report->second.requests - std::min(report->second.requests, report->second.ownAtReport);
         if (others + ownPart.requests > sum.requests) {
--- a/src/libs/decisions/serverload.h
+++ b/src/libs/decisions/serverload.h
@@ -10,58 +10,61 @@
 
 namespace decisions {
 
-/// What one node has under way at one backend server.
+/// In-flight requests of one node at one backend server.
 struct load_share {
     std::uint32_t requests = 0;
-    std::uint32_t promptTokens = 0; ///< yet to be read, of requests whose answer has not begun
+    std::uint32_t promptTokens = 0; ///< awaiting prefill, of requests whose answer has not begun
 
     template <class Archive> void serialize(Archive& archive) { archive(requests, promptTokens); }
 };
 
-/// What all nodes have under way at one backend server, as this node knows it.
+/// In-flight requests of all nodes at one backend server, as far as this node knows.
 struct load_total {
     std::uint32_t requests = 0;
     std::uint32_t promptTokens = 0;
-    utils::duration age {}; ///< of the oldest word that is counted; zero for this node's own part alone
+    utils::duration age {}; ///< age of the oldest data counted; zero when only this node's share is counted
 };
 
-/// Loads of backend servers as this node knows them: its own share exactly, those of its peers as they last
-/// told, and what the servers themselves tell on their answers.
+/// Loads of backend servers: this node's exact share, the shares last received from its peers, and the loads
+/// that the servers report with their answers.
 ///
-/// Load: many nodes send to the same few engines. With its own count alone each node sends its bursts to
-/// the server that looks idle to it, and the servers differ by a multiple of the mean. Not thread safe.
+/// Load: many nodes send to the same few engines. With only its own count, each node sends its bursts to the
+/// server that looks idle to it, and the loads of the servers differ by multiples of the mean. Not thread
+/// safe.
 class server_loads {
 public:
-    /// A share that a peer told is counted for so long: four of its beats, so that two may be lost.
+    /// Lifetime of a peer's shares: four of its heartbeats, so that two may be lost.
     static constexpr utils::duration peerLifetime = std::chrono::milliseconds(1200);
-    /// What a server told is believed for so long: then as much has come and gone as it told of.
+    /// Lifetime of a server's report: after this time about as many requests have started and finished as it
+    /// counted.
     static constexpr utils::duration reportLifetime = std::chrono::milliseconds(600);
 
     void started(const utils::server_id& server, std::uint32_t promptTokens);
-    /// The answer has begun: the prompt is read.
+    /// Records that the answer has begun, so the prompt's prefill is finished.
     void answered(const utils::server_id& server, std::uint32_t promptTokens);
-    /// Precondition: as many started() came before, and answered() if the prompt was read.
+    /// Precondition: a matching started() came before, and answered() if the prefill was finished.
     void finished(const utils::server_id& server);
-    /// The server told that so many requests run and wait there.
+    /// Records the server's report of its running and waiting requests.
     void recordReport(
         const utils::server_id& server, std::uint32_t running, std::uint32_t waiting, utils::time_point now);
-    /// A peer told its shares; they replace those that it told before.
+    /// Replaces the shares of a peer by those that it sent.
     void updatePeer(const utils::node_id& peer, const std::map<utils::server_id, load_share>& shares,
         utils::time_point now);
 
-    /// This node's own part.
+    /// Returns this node's own share.
     load_share own(const utils::server_id& server) const;
-    /// All nodes' parts together; at least what the server told lately.
+    /// Returns the sum over all nodes; at least the load of the server's own report while that is fresh.
     load_total total(const utils::server_id& server, utils::time_point now) const;
-    /// The most that one peer has there to be read: more than its longest prompt is not known of.
+    /// Returns the largest number of prompt tokens awaiting prefill that one peer has there. The lengths of
+    /// the peer's single prompts are not known; its longest is at most this.
     std::uint32_t maxPeerPromptTokens(const utils::server_id& server, utils::time_point now) const;
-    /// This node's shares that are not zero, for its peers.
+    /// Returns this node's non-zero shares, to be sent to its peers.
     std::map<utils::server_id, load_share> ownShares() const;
 
 private:
     struct report_state {
         std::uint32_t requests = 0;
-        std::uint32_t ownAtReport = 0; ///< of them this node's
+        std::uint32_t ownAtReport = 0; ///< this node's share of `requests` when the report came
         utils::time_point at {};
     };
     struct peer_state {
--- a/src/libs/decisions/servicerate.cpp
+++ b/src/libs/decisions/servicerate.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-// Lengths of answers vary as much as their mean: with a tenth the estimate itself strays by a quarter, and
-// entries that would have started in time were refused on its swings.
-constexpr double averaging = 0.03;
-// What runs is no older on average than a whole run while servers are healthy; twice that is no chance.
-constexpr double clearlySlow = 2;
-constexpr double leastSlowdown = 0.05;
-constexpr double leastWork = 1e-6;
+// The standard deviation of answer lengths is about their mean: with 0.1 the estimate itself varies by a
+// quarter, and entries that would have started in time were refused on its peaks.
+constexpr double smoothing = 0.03;
+// On healthy servers the mean age of running entries is at most a whole run; twice that is not chance.
+constexpr double slowRunningFactor = 2;
+constexpr double minSlowdown = 0.05;
+constexpr double minExpectedSeconds = 1e-6;
 
 double ratio(utils::duration measured, utils::duration expected)
 {
-    return utils::toSeconds(measured) / std::max(utils::toSeconds(expected), leastWork);
+    return utils::toSeconds(measured) / std::max(utils::toSeconds(expected), minExpectedSeconds);
 }
 
 } // namespace
@@ -33,10 +33,10 @@
         return;
     const double measured = ratio(now - found->second.startedAt, found->second.expected);
     m_running.erase(found);
-    // A run that was cut tells only that it would have taken at least so long.
+    // The time of an aborted run is only a lower bound of its full time.
     if (isWhole || measured > m_slowdown)
-        m_slowdown += averaging * (measured - m_slowdown);
-    m_slowdown = std::max(m_slowdown, leastSlowdown);
+        m_slowdown += smoothing * (measured - m_slowdown);
+    m_slowdown = std::max(m_slowdown, minSlowdown);
 }
 
 double service_rate::runningSlowdown(utils::time_point now) const
@@ -52,7 +52,7 @@
 double service_rate::slowdown(utils::time_point now) const
 {
     const double running = runningSlowdown(now);
-    return running > clearlySlow * m_slowdown ? running : m_slowdown;
+    return running > slowRunningFactor * m_slowdown ? running : m_slowdown;
 }
 
 std::vector<utils::duration> service_rate::remaining(utils::time_point now) const
--- a/src/libs/decisions/servicerate.h
+++ b/src/libs/decisions/servicerate.h
@@ -7,24 +7,23 @@
 
 namespace decisions {
 
-/// Measures how much slower (or faster) than expected the servers of a queue run.
+/// Measures how much slower or faster than expected the servers of a queue run.
 ///
-/// Load: a slow server. Without it, waits are estimated from expected work alone, a slow server's queue
-/// looks short, and everything let in misses its deadline. Counts what is still running too: a server
-/// that has stopped finishes nothing, so finished work alone would never show it.
-/// Not thread safe.
+/// Load: a slow server. If waits were estimated from expected work alone, a slow server's queue would look
+/// short and all admitted requests would miss their deadlines. Running requests are included, since a server
+/// that hangs finishes nothing and would not show in finished requests. Not thread safe.
 class service_rate {
 public:
     void started(entry_id id, utils::duration expectedWork, utils::time_point now);
-    /// Ends a run. `isWhole`: it ran to its end; cut and cancelled runs do not count as fast ones.
+    /// Ends a run. `isWhole`: it ran to completion; aborted and cancelled runs do not count as fast ones.
     void finished(entry_id id, utils::time_point now, bool isWhole = true);
 
-    /// A run that has not begun after all: tells nothing about the servers.
+    /// Removes a run that did not start; it is not a sample of the servers' speed.
     void cancelled(entry_id id) { m_running.erase(id); }
 
-    /// Measured time over expected time, 1 when nothing is known. Always > 0.
+    /// Returns the ratio of measured to expected time; 1 without samples. Always > 0.
     double slowdown(utils::time_point now) const;
-    /// Expected slot time still to go of each running entry, times slowdown.
+    /// Returns the expected remaining slot time of each running entry, scaled by the slowdown.
     std::vector<utils::duration> remaining(utils::time_point now) const;
     std::size_t running() const { return m_running.size(); }
 
--- a/src/libs/decisions/servicewindow.cpp
+++ b/src/libs/decisions/servicewindow.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-// After the last moment at which everything is taken, for what was sent just before it.
-constexpr utils::duration crossing = std::chrono::milliseconds(250);
+// After the Leaving phase, for requests that were sent just before its end.
+constexpr utils::duration transitAllowance = std::chrono::milliseconds(250);
 
 } // namespace
 
@@ -31,7 +31,7 @@
     const utils::duration since = now - m_stopAt;
     if (since < m_limits.leavingPeriod)
         return stop_phase::Leaving;
-    const bool isIdle = requestsInProgress == 0 && since >= m_limits.leavingPeriod + crossing;
+    const bool isIdle = requestsInProgress == 0 && since >= m_limits.leavingPeriod + transitAllowance;
     return isIdle ? stop_phase::Done : stop_phase::Closing;
 }
 
--- a/src/libs/decisions/servicewindow.h
+++ b/src/libs/decisions/servicewindow.h
@@ -6,34 +6,36 @@
 
 namespace decisions {
 
-/// How far a node is with its stop.
+/// Phase of a node's shutdown.
 enum class stop_phase {
     None,
-    Leaving, ///< the balancer is told; what still comes is served, and its connection ended
-    Closing, ///< only what surely ends in time is taken
+    Leaving, ///< the balancer is notified; serves arriving requests, then closes their connections
+    Closing, ///< only requests whose timeout ends before the process exits are accepted
     Done
 };
 
 /// Settings of a service window.
 struct window_limits {
-    /// From the stop signal to the process's end at the latest.
+    /// Longest time from the stop signal to the process's exit.
     utils::duration grace = std::chrono::seconds(8);
-    /// Of the grace, for the process to end in.
+    /// Part of the grace period that is reserved for the process to exit.
     utils::duration margin = std::chrono::milliseconds(600);
-    /// The balancer asks once a second and needs two misses; most of a second more for what is on its way.
+    /// Length of the Leaving phase. The balancer probes once a second and needs two failed probes; the rest,
+    /// most of a second, is for connections on their way.
     utils::duration leavingPeriod = std::chrono::milliseconds(2900);
-    /// A node that starts reads what it needs in some 50 ms; an eighth of the callers' targets is 40 to 180.
+    /// Longest time that a starting node waits for its configuration. Reading it takes some 50 ms; an eighth
+    /// of the callers' latency targets is 40 to 180 ms.
     utils::duration startupWait = std::chrono::milliseconds(300);
 };
 
-/// When a node takes requests, from its start to its stop.
+/// Decides when a node accepts requests, from its start to its shutdown.
 ///
-/// Load: rolling restarts, and all nodes at once after a loss of power. A node that has just started knows no
-/// configuration for some ten ms, and a crowd is waiting: refused at once it comes back half a second later,
-/// when it need not have waited at all. A node that leaves still gets requests where few others are left in
-/// its data centre: refused one and all they use up their callers' retries, though a short one ends within
-/// the grace many times over. A long one must not be taken: the process would end under it.
-/// Not thread safe.
+/// Load: rolling restarts, and a start of all nodes after a loss of power. A node that has just started has
+/// no configuration for some ten ms while many callers wait; if it refused them, they would retry half a
+/// second later although the node was ready almost at once. A node that shuts down still gets requests when
+/// few other nodes are left in its data centre. Refusing all of them would use up their callers' retries,
+/// although the grace period is many times longer than a short request. A long request must not be accepted:
+/// the process would exit before it ends. Not thread safe.
 class service_window {
 public:
     service_window(const window_limits& limits, utils::time_point startedAt)
@@ -42,17 +44,17 @@
     {
     }
 
-    /// Whether to answer callers: the node knows what it needs, or has waited long enough for it.
+    /// Whether to answer callers: the configuration is complete, or the node has waited `startupWait` for it.
     bool isOpen(bool isComplete, utils::time_point now) const;
-    /// When isOpen() is true at the latest.
+    /// Returns the time from which isOpen() is true in any case.
     utils::time_point opensAt() const { return m_startedAt + m_limits.startupWait; }
 
-    /// The stop signal came. Later calls change nothing.
+    /// Begins the shutdown, on the stop signal. Later calls have no effect.
     void beginStop(utils::time_point now);
     bool isStopping() const { return m_isStopping; }
-    /// `requestsInProgress`: of this node.
+    /// `requestsInProgress`: in-flight requests of this node.
     stop_phase phase(std::uint64_t requestsInProgress, utils::time_point now) const;
-    /// Whether to take a request that may last so long.
+    /// Whether to accept a request with that timeout.
     bool mayAccept(utils::duration timeout, utils::time_point now) const;
 
 private:
--- a/src/libs/decisions/silencedetector.h
+++ b/src/libs/decisions/silencedetector.h
@@ -8,45 +8,46 @@
 
 namespace decisions {
 
-/// Which backend servers have fallen silent: requests wait there and nothing at all comes.
+/// Detects backend servers that send nothing at all while requests wait there.
 ///
-/// Load: a server that goes dark without closing its connections. Bytes go out to it without an error, so
-/// each request of each node waits there until its caller leaves, for as long as the server is dark. A
-/// server that runs is heard all the time: the events of other streams, other answers. Nothing from it
-/// for longer than a first byte takes is therefore a sign about the server, long before it is one about a
-/// single request, which may wait behind others. An engine that reads a long prompt with nothing else to do
-/// is given the time that this takes. New requests go elsewhere until it is heard again; nothing is ended by
-/// this alone, so a mistake costs a little affinity. Not thread safe.
+/// Load: a server that stops responding without closing its connections. Writes to it still succeed, so each
+/// request of each node waits there until its caller leaves, for as long as the outage lasts. A server that
+/// runs sends data all the time: events of other streams, other answers. Receiving nothing for longer than a
+/// first byte takes therefore indicates a failed server long before a single request's wait does, as that
+/// request may be queued behind others. An engine that prefills a long prompt and runs nothing else is given
+/// the time that the prefill takes. New requests go to other servers until data arrives again; no request is
+/// ended by this alone, so a false positive only costs some cache affinity. Not thread safe.
 class silence_detector {
 public:
-    /// Part of a route's target for a first byte after which silence of a plain service is a sign: what is
-    /// then sent elsewhere can still be on time.
+    /// Limit for a plain service, as a fraction of the route's target for a first byte: a request that is
+    /// then sent to another server can still be on time.
     static constexpr double plainTargetShare = 0.6;
-    /// The same of an engine.
+    /// The same for an engine.
     static constexpr double engineTargetShare = 1.0;
-    /// Never sooner: the slowest in a hundred short answers takes some 300 ms.
+    /// Smallest limit: the slowest 1 % of short answers take some 300 ms.
     static constexpr utils::duration minLimit = std::chrono::milliseconds(400);
 
-    /// How long a server may be silent under a request with that target.
+    /// Returns how long a server may send nothing while a request with that target waits.
     static utils::duration limitFor(utils::duration target, bool isEngine);
 
-    /// A request was sent; the server may rightly say nothing for `prefill`, the time it takes for the
-    /// prompt. Precondition: the requestId is new.
+    /// Records that a request was sent. The server may send nothing for `prefill`, the time that it takes to
+    /// process the prompt. Precondition: `requestId` is new.
     void requestSent(const utils::server_id& server, std::uint64_t requestId, utils::duration limit,
         utils::duration prefill, utils::time_point now);
-    /// Something came from the server.
+    /// Records that data arrived from the server.
     void dataReceived(const utils::server_id& server, utils::time_point now);
-    /// The request's prompt is read.
+    /// Records that the request's prefill is finished.
     void prefillFinished(const utils::server_id& server, std::uint64_t requestId);
-    /// The request has ended, however.
+    /// Records that the request has ended, with or without success.
     void requestEnded(const utils::server_id& server, std::uint64_t requestId);
 
-    /// `peerPrefill`: the same as for requestSent(), of prompts that other nodes have sent there.
+    /// Whether the server has sent nothing for too long. `peerPrefill`: time for the prefill of prompts that
+    /// other nodes have sent there.
     bool isSilent(const utils::server_id& server, utils::time_point now,
         utils::duration peerPrefill = utils::duration::zero()) const;
-    /// When it was last heard; the epoch when nothing is under way there.
+    /// Returns when data last arrived; the epoch when no request is in flight there.
     utils::time_point lastHeard(const utils::server_id& server) const;
-    /// How long it may say nothing for the longest prompt that it has yet to read.
+    /// Returns the longest prefill time of the requests whose prefill is not finished.
     utils::duration longestPrefill(const utils::server_id& server) const;
 
 private:
--- a/src/libs/decisions/slotforecast.cpp
+++ b/src/libs/decisions/slotforecast.cpp
@@ -7,7 +7,8 @@
 slot_forecast::slot_forecast(std::vector<utils::duration> remaining, unsigned slots, double slowdown)
     : m_slowdown(slowdown)
 {
-    // With more runs than slots (some have just left) the first to end free nothing.
+    // With more running items than slots (some slots have just been removed), the first items to end free no
+    // slot.
     std::ranges::sort(remaining, std::greater<> {});
     remaining.resize(slots, utils::duration::zero());
     for (const utils::duration left : remaining)
--- a/src/libs/decisions/slotforecast.h
+++ b/src/libs/decisions/slotforecast.h
@@ -8,16 +8,15 @@
 
 namespace decisions {
 
-/// Forecasts when queued work will start: each piece takes the slot that becomes free first.
-/// Not thread safe.
+/// Forecasts when queued work will start; each item takes the slot that becomes free first. Not thread safe.
 class slot_forecast {
 public:
-    /// `remaining`: time to go of each running piece. `slowdown`: measured time over expected time.
+    /// `remaining`: remaining time of each running item. `slowdown`: ratio of measured to expected time.
     slot_forecast(std::vector<utils::duration> remaining, unsigned slots, double slowdown);
 
-    /// When the next piece will start, from now. Precondition: there is a slot.
+    /// Returns the time from now until the next item starts. Precondition: there is a slot.
     utils::duration nextStart() const { return m_freeAt.top(); }
-    /// Lets a piece take that slot. Precondition: there is a slot.
+    /// Assigns that slot to an item. Precondition: there is a slot.
     void occupy(utils::duration expectedWork);
 
 private:
--- a/src/libs/decisions/spilltable.h
+++ b/src/libs/decisions/spilltable.h
@@ -14,36 +14,36 @@
 
 struct spill_settings {
     std::size_t capacity = 200'000; ///< chats; about 100 bytes each
-    utils::duration lifetime
-        = std::chrono::hours(4); ///< a prefix does not stay in a server's cache for longer
+    utils::duration lifetime = std::chrono::hours(4); ///< a prefix stays cached for at most this time
 };
 
-/// What a node remembers of a chat whose anchor it is home of.
+/// Entry of a chat: where it ran last.
 struct spill_record {
-    utils::server_id server; ///< that ran the chat last and holds its prefix
+    utils::server_id server; ///< server that ran the chat last and holds its prefix
     std::uint32_t prefixTokens = 0;
 };
 
-/// Where each chat of the anchor servers that this node is home of was run last. The anchor is the first of
-/// the chat's ranking; any entry node finds it without asking. Answers spill: a chat that the bound sent
-/// elsewhere returns to the server that holds its prefix and not to its anchor. Without it every spilled chat
-/// misses its cache twice, once going and once coming back. Bounded: the chat unused for longest goes first;
-/// a forgotten chat costs one prefill, never a wrong answer. Lost with the node on purpose. Not thread safe.
+/// Records on which server each chat ran last, for the chats whose anchor server has this node as its home.
+/// The anchor is the first server of the chat's ranking; any entry node computes it locally. Load: spill; a
+/// chat that the load bound sent to another server returns to that server, which holds its prefix, and not to
+/// its anchor. Without the table, each spilled chat misses the cache twice: on the other server and again on
+/// its return. Bounded, with least recently used eviction; an evicted chat costs one prefill, never a wrong
+/// answer. Not persisted and not replicated, on purpose. Not thread safe.
 class spill_table {
 public:
     explicit spill_table(spill_settings settings = {});
 
-    /// The chat was dispatched to that server.
+    /// Records that the chat was dispatched to that server.
     void remember(std::uint64_t chat, const spill_record& record, utils::time_point now);
-    /// Where the chat's prefix is, unless forgotten or expired.
+    /// Returns where the chat's prefix is; nothing when evicted, removed or expired.
     std::optional<spill_record> find(std::uint64_t chat, utils::time_point now) const;
-    /// The server is gone, and its cache with it: its chats are new ones.
+    /// Removes the entries of a server that is gone together with its cache; its chats count as new.
     void forgetServer(const utils::server_id& server);
-    /// The server's prefix was exported to another one. Later look-ups name the new one.
+    /// Records that the chat's prefix was exported to another server.
     void moved(std::uint64_t chat, const utils::server_id& to);
-    /// The chat's prefix is gone, as a cache event tells.
+    /// Removes the entry of a chat after a cache event reported that its prefix was evicted.
     void forget(std::uint64_t chat);
-    /// Forgets what has expired; call it now and then. Work: one step a forgotten chat.
+    /// Removes expired entries; call it periodically. Cost: linear in the entries removed.
     void expire(utils::time_point now);
     std::size_t size() const { return m_byChat.size(); }
 
--- a/tests/auto/decisions/placementfleet.cpp
+++ b/tests/auto/decisions/placementfleet.cpp
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr unsigned slots = 32;
-constexpr auto currencyTime = 2s; ///< below home_settings::deadAfter
-constexpr auto noticeTime = 1s; ///< a silent node leaves the others' views after it
+constexpr auto viewLifetime = 2s; ///< a node's view is stale after it; below home_settings::deadAfter
+constexpr auto noticeTime = 1s; ///< a silent node is removed from the others' views after it
 constexpr unsigned stepsPerSecond = 10;
 constexpr std::size_t reportLagSteps = 10;
-constexpr std::size_t recentSteps = 50; ///< five seconds: digest lag and handover
+constexpr std::size_t recentSteps = 50; ///< five seconds, which cover digest lag and handover
 constexpr unsigned lostPercent = 20;
-constexpr double leastMean = 4; ///< 1 / (c - 1) at c = 1.25: below it whole requests decide
+constexpr double minMean = 4; ///< 1 / (c - 1) at c = 1.25: below it rounding to whole requests dominates
 
 } // namespace
 
@@ -110,7 +110,7 @@
         node.view.remove(state.server.id);
 }
 
-void placement_fleet::returnEngine(unsigned engine)
+void placement_fleet::restartEngine(unsigned engine)
 {
     auto& state = m_engines[engine];
     if (state.isUp)
@@ -222,7 +222,7 @@
 void placement_fleet::resume(unsigned node)
 {
     auto& state = m_nodes[node];
-    state.isCurrent = m_now - state.lastActive < currencyTime;
+    state.isCurrent = m_now - state.lastActive < viewLifetime;
     if (!state.isCurrent) {
         for (auto& ledger : state.ledgers)
             ledger.onViewStale();
@@ -246,7 +246,7 @@
 
 void placement_fleet::claimHomes(unsigned node)
 {
-    constexpr std::size_t candidates = 4; // itself and three that may have been home before
+    constexpr std::size_t candidates = 4; // itself and three nodes that may have been home before
     auto& self = m_nodes[node];
     const auto view = viewOf(node);
     const auto listed = listOf(node);
@@ -390,7 +390,7 @@
             ++m_found.stepsWithTwoHolders;
     }
     const double mean = trueMean();
-    if (mean * slots < leastMean)
+    if (mean * slots < minMean)
         return;
     double worst = 0;
     for (const auto& engine : m_engines) {
--- a/tests/auto/decisions/placementfleet.h
+++ b/tests/auto/decisions/placementfleet.h
@@ -8,19 +8,19 @@
 #include <random>
 #include <vector>
 
-/// Nodes, engines and a network of a few lines in virtual time: enough to run the placement code of several
-/// nodes against views that disagree, lost messages, pauses, deaths and flapping engines.
+/// Simulated nodes, engines and network in virtual time. Runs the placement code of several nodes under
+/// disagreeing membership views, lost messages, pauses, crashed nodes and flapping engines.
 class placement_fleet {
 public:
-    /// What the safeguards must keep, measured at every dispatch and every step.
+    /// Violations of the invariants, counted at every dispatch and every step, and related counts.
     struct findings {
         unsigned dispatches = 0;
-        unsigned dispatchesOverBound = 0; ///< above c x the mean, each load at its largest of 5 s
+        unsigned dispatchesOverBound = 0; ///< above c x the mean of the largest loads of the last 5 s
         unsigned dispatchesOverSlots = 0;
         unsigned stepsWithTwoHolders = 0;
         unsigned samples = 0;
         unsigned samplesOverBound = 0; ///< max/mean above c
-        double worstRatio = 0; ///< largest max/mean, of samples with at least leastMean requests an engine
+        double worstRatio = 0; ///< largest max/mean over samples with at least minMean requests per engine
         unsigned refused = 0;
     };
 
@@ -30,17 +30,18 @@
     void step();
     void run(utils::duration length);
 
-    /// Requests a second, over all entry nodes; each runs for 5 to 15 s.
+    /// Sets the requests per second over all entry nodes; each runs for 5 to 15 s.
     void setRate(double requestsPerSecond) { m_rate = requestsPerSecond; }
-    /// Switches the handover off, to show what it is for: a new home dispatches at once.
+    /// Switches the handover off, so that a new home dispatches at once; shows that the tests detect its
+    /// absence.
     void skipHandover() { m_skipsHandover = true; }
     void pause(unsigned node, utils::duration length);
     void kill(unsigned node);
     void restart(unsigned node);
-    /// `viewer`'s list of VMs lacks `node` for a while.
+    /// Removes `node` from `viewer`'s list of VMs for that time.
     void hide(unsigned viewer, unsigned node, utils::duration length);
     void crashEngine(unsigned engine);
-    void returnEngine(unsigned engine);
+    void restartEngine(unsigned engine);
     /// Whether every running engine has a node that holds it.
     bool allHeld() const;
 
@@ -57,7 +58,7 @@
         bool isUp = true;
         utils::time_point joinedAt { -std::chrono::hours(1) };
         std::vector<request> running;
-        std::vector<unsigned> reports; ///< load at the last steps
+        std::vector<unsigned> reports; ///< load at each step, the latest last
     };
     struct node_state {
         utils::node_id id;
--- a/tests/auto/decisions/tst_placementhistory.cpp
+++ b/tests/auto/decisions/tst_placementhistory.cpp
@@ -16,7 +16,7 @@
 constexpr unsigned nodeCount = 7;
 constexpr unsigned engineCount = 12;
 constexpr double bound = 1.25;
-constexpr double steadyRate = 18; ///< of requests of 10 s: a mean of 15 on 12 engines
+constexpr double steadyRate = 18; ///< requests per second; of 10 s each, a mean of 15 on 12 engines
 
 placement_fleet steadyFleet(std::uint64_t seed)
 {
@@ -27,8 +27,8 @@
     return fleet;
 }
 
-/// Two nodes miss a third in their lists, an engine flaps, a team doubles the load.
-void playTrouble(placement_fleet& fleet)
+/// Two nodes lack a third one in their lists, an engine flaps, a calling team doubles the load.
+void injectFaults(placement_fleet& fleet)
 {
     fleet.hide(0, 3, 8s);
     fleet.hide(1, 3, 6s);
@@ -37,12 +37,12 @@
     fleet.crashEngine(5);
     fleet.setRate(2 * steadyRate);
     fleet.run(4s);
-    fleet.returnEngine(5);
+    fleet.restartEngine(5);
     fleet.run(3s);
     fleet.crashEngine(5);
     fleet.setRate(steadyRate);
     fleet.run(2s);
-    fleet.returnEngine(5);
+    fleet.restartEngine(5);
     fleet.run(30s);
 }
 
@@ -50,12 +50,12 @@
 
 BOOST_AUTO_TEST_SUITE(placementhistory)
 
-// Two membership views disagree, an engine flaps and a team doubles the load, all within ten seconds. Callers
-// whose home waits for a handover go on to the next server; no request is dispatched above c x the mean.
+// Two membership views disagree, an engine flaps and a calling team doubles the load, all within ten seconds.
+// Requests whose home awaits a handover go to the next server; none is dispatched above c x the mean.
 BOOST_AUTO_TEST_CASE(theBoundHoldsWhileViewsDisagreeAnEngineFlapsAndATeamSurges)
 {
     auto fleet = steadyFleet(1);
-    playTrouble(fleet);
+    injectFaults(fleet);
     const auto& found = fleet.found();
     BOOST_TEST_MESSAGE("dispatches " << found.dispatches << ", samples " << found.samples << ", above c "
                                      << found.samplesOverBound << ", worst max/mean " << found.worstRatio
@@ -69,19 +69,19 @@
     BOOST_TEST(fleet.allHeld());
 }
 
-// The same trouble without waiting for the handover: the new home dispatches at once while the old one, whose
-// view lacks the new, goes on. Shows that the fleet above would see the fault that the handover prevents.
+// The same faults without waiting for the handover: the new home dispatches at once while the old one, whose
+// view lacks the new one, continues. Shows that the simulation detects the fault that the handover prevents.
 BOOST_AUTO_TEST_CASE(withoutHandoverTwoNodesHoldOneEngine)
 {
     auto fleet = steadyFleet(1);
     fleet.skipHandover();
-    playTrouble(fleet);
+    injectFaults(fleet);
     BOOST_TEST(fleet.found().stepsWithTwoHolders > 0U);
 }
 
-// The home of several engines is killed and comes back, empty, before its successors have waited out T; then
-// another is paused past T and resumes. At no time do two nodes hold one engine, and in the end each has its
-// home.
+// The home of several engines is killed and restarts without state before T has elapsed for its successors;
+// then another home is paused for longer than T and resumes. Two nodes never hold one engine, and finally
+// each engine has a home.
 BOOST_AUTO_TEST_CASE(oneNodeHoldsAnEngineThroughKillRestartAndPause)
 {
     auto fleet = steadyFleet(2);
@@ -96,8 +96,8 @@
     BOOST_TEST(fleet.allHeld());
 }
 
-// Random histories: kills, restarts, pauses, lists that lack a node, engines that crash and return, surges,
-// 20 % of the messages lost. The seed is printed on failure.
+// Random histories: kills, restarts, pauses, lists that lack a node, engines that crash and restart, load
+// surges, and 20 % message loss. The seed is printed on failure.
 RC_BOOST_PROP(holdsInRandomHistories, (std::uint64_t seed))
 {
     const auto faults = *rc::gen::container<std::vector<std::tuple<unsigned, unsigned, unsigned>>>(12,
@@ -123,7 +123,7 @@
             break;
         default:
             fleet.restart(target);
-            fleet.returnEngine(target);
+            fleet.restartEngine(target);
             break;
         }
         fleet.run(length);
--- a/tests/auto/decisions/tst_placementhome.cpp
+++ b/tests/auto/decisions/tst_placementhome.cpp
@@ -47,8 +47,8 @@
 
 BOOST_AUTO_TEST_SUITE(placementhome)
 
-// Five requests run through the old home when a VM joins and becomes home. Callers wait for the
-// handover and no longer; the new home counts the old one's five to its bound until they end.
+// Five requests of the old home are running when a VM joins and becomes home. The new home admits requests as
+// soon as the handover is done, and counts the old home's five towards its bound until they end.
 BOOST_AUTO_TEST_CASE(aNewHomeWaitsForTheHandoverAndCountsWhatIsStillInFlight)
 {
     auto before = heldSince(oldHome, start);
@@ -68,10 +68,9 @@
     BOOST_TEST(after.load(start + 2s) == 4U);
 }
 
-// The old home is killed with requests on the engine. Nobody answers the claim. Callers are refused until the
-// old home has been dead for longer than T, since until then it could have been a node that only lost its
-// way.
-BOOST_AUTO_TEST_CASE(aDeadHomeIsSucceededAfterTAndItsRequestsShowInTheServersReports)
+// The old home is killed with requests on the engine, so the claim gets no answer. Requests are refused until
+// the old home has been dead for longer than T, since until then it could be alive but unreachable.
+BOOST_AUTO_TEST_CASE(aDeadHomeIsReplacedAfterTAndItsRequestsCountFromServerReports)
 {
     home_ledger after(newHome, 32);
     after.claim(std::array { oldHome }, start);
@@ -85,8 +84,8 @@
     BOOST_TEST(after.load(start + 67s) == 1U);
 }
 
-// A home is paused past T and resumes as if nothing had been. Its successor dispatches by now. Not being
-// current it admits nothing, and it has to claim like any other before it does again.
+// A home is paused for longer than T and resumes; by then its successor dispatches. With a stale view it
+// admits nothing, and it has to claim the server like any other node before it admits again.
 BOOST_AUTO_TEST_CASE(aPausedHomeAdmitsNothingUntilItHasClaimedAgain)
 {
     auto home = heldSince(oldHome, start);
@@ -102,8 +101,8 @@
     BOOST_TEST(home.load(start + 20s) == 4U);
 }
 
-// Two nodes with different views claim from the same home, and answers are lost. The second one to come must
-// not take the first one's release for its own.
+// Two nodes with different views claim from the same home, and answers are lost. The second claimant must not
+// mistake the release to the first one for its own.
 BOOST_AUTO_TEST_CASE(onlyOneOfTwoClaimantsGetsTheServer)
 {
     const utils::node_id third("node-3");
@@ -122,9 +121,9 @@
     BOOST_TEST(admitMany(late, 1, fleetWithMean(0.5), start + 90s) == 0U);
 }
 
-// The link between data centres is cut and both sides go on. Each side hears a part of the listed VMs; were
-// each to use all slots of an engine, the engine would get twice what it can run.
-BOOST_AUTO_TEST_CASE(disjointIslandsTogetherStayWithinTheSlots)
+// The link between data centres is cut and both sides continue. Each side hears only a part of the listed
+// VMs; if each used all slots of an engine, the engine would get twice the requests that it can run.
+BOOST_AUTO_TEST_CASE(disjointPartitionsTogetherStayWithinTheSlots)
 {
     auto left = heldSince(oldHome, start);
     auto right = heldSince(newHome, start);
@@ -136,8 +135,8 @@
     BOOST_TEST(both == 18U + 13U);
 }
 
-// One thousand requests of one team arrive within a digest round. The mean that homes know lags, the count
-// does not: no home goes above the bound that the known mean gives.
+// One thousand requests of one calling team arrive within a digest round. The mean that a home knows lags,
+// its own count does not: no home exceeds the bound that follows from the known mean.
 BOOST_AUTO_TEST_CASE(aSurgeIsCountedAtTheHomeNotAtTheDigest)
 {
     auto home = heldSince(oldHome, start);
@@ -155,8 +154,8 @@
 }
 
 // A chat returns through any node. Its anchor's home names the server that ran it last, which is asked with
-// the whole bound; only when that one is full does the chat go on down its ranking.
-BOOST_AUTO_TEST_CASE(theWalkGoesToTheAnchorThenWhereTheChatWasThenDownTheRanking)
+// the full bound; only if that server is full, the walk continues with the ranking.
+BOOST_AUTO_TEST_CASE(theWalkAsksTheAnchorThenTheRecordedServerThenTheRanking)
 {
     const std::vector<utils::server_id> ranking { utils::server_id("a"), utils::server_id("b"),
         utils::server_id("c") };
@@ -176,9 +175,9 @@
     BOOST_TEST(std::get<queue_at>(walk.next()).server == ranking[0]);
 }
 
-// A server joined and became the chat's anchor; its home has never heard of the chat. The former anchor's
-// home is asked before the chat is taken for a new one and computed anew.
-BOOST_AUTO_TEST_CASE(theWalkAsksTheFormerAnchorBeforeItTakesAChatForNew)
+// A server joined and became the chat's anchor; its home does not know the chat. The former anchor's home is
+// asked before the chat is treated as new and its prefix recomputed.
+BOOST_AUTO_TEST_CASE(theWalkAsksTheFormerAnchorBeforeItTreatsAChatAsNew)
 {
     const std::vector<utils::server_id> ranking { utils::server_id("joined"), utils::server_id("b") };
     candidate_walk walk(ranking, ranking[1]);
@@ -219,7 +218,8 @@
 }
 
 // A burst raises the mean for a few seconds. Requests admitted up to c x that mean would still run when the
-// burst is over, and stand above c x mean then; below the present mean nobody waits all the same.
+// burst is over, and would then exceed c x mean. Below the current mean requests are still admitted without
+// waiting.
 BOOST_AUTO_TEST_CASE(theMultipleAppliesToTheLowestMeanOfTheLastSeconds)
 {
     load_view view;
@@ -231,8 +231,8 @@
     BOOST_TEST(boundedLoad(1.25, 32, view.observe(start + 13s)) == 31U);
 }
 
-// A server leaves with more cached prefixes than can be moved in time. The ones read most often go, each to
-// where the ranking sends its chat from now on.
+// A server leaves with more cached prefixes than can be moved in time. Those with the most uses per hour are
+// moved, each to the server that the ranking now gives for its chat.
 BOOST_AUTO_TEST_CASE(aLeavingServerExportsItsHottestPrefixesToTheNextOfTheRanking)
 {
     std::vector<placement_server> servers(3);
--- a/tests/auto/decisions/tst_placementranking.cpp
+++ b/tests/auto/decisions/tst_placementranking.cpp
@@ -39,7 +39,7 @@
 
 BOOST_AUTO_TEST_SUITE(placementranking)
 
-BOOST_AUTO_TEST_CASE(ranksAlikeInWhateverOrderANodeListsTheServers)
+BOOST_AUTO_TEST_CASE(theRankingIsIndependentOfTheOrderOfTheServers)
 {
     auto servers = makeServers(12);
     auto reversed = servers;
@@ -49,7 +49,7 @@
 }
 
 // A backend server is drained while chats keep returning. Callers see no error: from the first request after
-// the document's change no chat ranks the leaving server, and only its own chats move.
+// the document's change no ranking includes the leaving server, and only its own chats move.
 BOOST_AUTO_TEST_CASE(aLeavingServerIsOutAtOnceAndOnlyItsChatsMove)
 {
     const auto before = makeServers(12);
@@ -78,7 +78,7 @@
     BOOST_TEST(share["engine-2"] == 32.0 / 112, boost::test_tools::tolerance(0.05));
 }
 
-BOOST_AUTO_TEST_CASE(aJoiningServerGetsItsShareInStepsAndAFlapStartsAnew)
+BOOST_AUTO_TEST_CASE(aJoiningServerGetsItsShareInStepsAndAFlapRestartsTheRamp)
 {
     const utils::time_point joined { 1h };
     BOOST_TEST(rampUpWeight(joined, joined) == 0.1);
@@ -87,8 +87,8 @@
     BOOST_TEST(rampUpWeight(joined + 50s, joined + 60s) < 0.3);
 }
 
-// Ten requests arrive at five idle servers whose bound is 1.1. Taken to the letter, 1.1 x mean holds
-// no second request until the mean is 10, so that the fleet would stop at one request a server.
+// Requests arrive at five idle servers with the bound 1.1. Without rounding up, 1.1 x mean allows no second
+// request until the mean is 10, so the fleet would stop at one request per server.
 BOOST_AUTO_TEST_CASE(aSmallBoundStillLetsAnIdleFleetFill)
 {
     constexpr unsigned servers = 5;
@@ -119,36 +119,36 @@
     BOOST_TEST(boundedLoad(1.25, 32, {}) == 1U);
 }
 
-// A chat's anchor was full, so the chat ran on another server. When the caller comes back minutes later
-// through any node, the anchor's home has to name the server that holds the prefix.
+// A chat's anchor was full, so the chat ran on another server. When the chat returns minutes later through
+// any node, the anchor's home has to name the server that holds the prefix.
 BOOST_AUTO_TEST_CASE(aSpilledChatIsFoundAgainUntilItExpires)
 {
     const utils::time_point start { 1h };
-    spill_table memory({ .capacity = 3, .lifetime = 1h });
+    spill_table table({ .capacity = 3, .lifetime = 1h });
     const utils::server_id other("engine-7");
-    memory.remember(1, { other, 9000 }, start);
-    BOOST_REQUIRE(memory.find(1, start + 59min).has_value());
-    BOOST_TEST(memory.find(1, start + 59min)->server == other);
-    BOOST_TEST(memory.find(1, start + 59min)->prefixTokens == 9000U);
-    BOOST_TEST(!memory.find(1, start + 61min).has_value());
-    memory.expire(start + 61min);
-    BOOST_TEST(memory.size() == 0U);
+    table.remember(1, { other, 9000 }, start);
+    BOOST_REQUIRE(table.find(1, start + 59min).has_value());
+    BOOST_TEST(table.find(1, start + 59min)->server == other);
+    BOOST_TEST(table.find(1, start + 59min)->prefixTokens == 9000U);
+    BOOST_TEST(!table.find(1, start + 61min).has_value());
+    table.expire(start + 61min);
+    BOOST_TEST(table.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(aFullMemoryForgetsTheChatUnusedForLongest)
+BOOST_AUTO_TEST_CASE(aFullTableEvictsTheLeastRecentlyUsedChat)
 {
     const utils::time_point start { 1h };
-    spill_table memory({ .capacity = 2, .lifetime = 1h });
-    memory.remember(1, { utils::server_id("a"), 1 }, start);
-    memory.remember(2, { utils::server_id("b"), 1 }, start + 1s);
-    memory.remember(1, { utils::server_id("c"), 1 }, start + 2s);
-    memory.remember(3, { utils::server_id("a"), 1 }, start + 3s);
-    BOOST_TEST(!memory.find(2, start + 4s).has_value());
-    BOOST_TEST(memory.find(1, start + 4s)->server == utils::server_id("c"));
-    memory.forgetServer(utils::server_id("c"));
-    BOOST_TEST(!memory.find(1, start + 4s).has_value());
-    memory.moved(3, utils::server_id("d"));
-    BOOST_TEST(memory.find(3, start + 4s)->server == utils::server_id("d"));
+    spill_table table({ .capacity = 2, .lifetime = 1h });
+    table.remember(1, { utils::server_id("a"), 1 }, start);
+    table.remember(2, { utils::server_id("b"), 1 }, start + 1s);
+    table.remember(1, { utils::server_id("c"), 1 }, start + 2s);
+    table.remember(3, { utils::server_id("a"), 1 }, start + 3s);
+    BOOST_TEST(!table.find(2, start + 4s).has_value());
+    BOOST_TEST(table.find(1, start + 4s)->server == utils::server_id("c"));
+    table.forgetServer(utils::server_id("c"));
+    BOOST_TEST(!table.find(1, start + 4s).has_value());
+    table.moved(3, utils::server_id("d"));
+    BOOST_TEST(table.find(3, start + 4s)->server == utils::server_id("d"));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_recentfailures.cpp
+++ b/tests/auto/decisions/tst_recentfailures.cpp
@@ -21,16 +21,16 @@
     return utils::time_point {} + 1h + since;
 }
 
-/// How the nodes of a fleet take failures into account.
-enum class awareness {
+/// Failures that the nodes of a fleet take into account.
+enum class failure_sharing {
     None,
-    Own, ///< each node counts what it has seen itself
-    Told ///< nodes tell each other four times a second
+    Own, ///< each node counts only its own
+    Shared ///< nodes exchange their failures four times a second
 };
 
 struct fleet_load {
-    std::array<double, 3> failing { 0, 0, 0 }; ///< share of payments that each server loses
-    int requests = 2000; ///< one every 50 ms: some 20 a second over seven nodes
+    std::array<double, 3> failing { 0, 0, 0 }; ///< fraction of payments that each server loses
+    int requests = 2000; ///< one every 50 ms, i.e. 20 per second over seven nodes
 };
 
 struct load_result {
@@ -38,7 +38,7 @@
     std::map<std::string, int> sent;
 };
 
-load_result play(const fleet_load& load, awareness how)
+load_result runPayments(const fleet_load& load, failure_sharing sharing)
 {
     constexpr std::size_t nodes = 7;
     std::array<recent_failures, nodes> failures;
@@ -53,7 +53,7 @@
         std::vector<server_candidate> candidates;
         for (int server = 0; server < 3; ++server) {
             const server_id id("press-" + std::to_string(server));
-            const double known = how == awareness::None ? 0 : own.countAt(id, now);
+            const double known = sharing == failure_sharing::None ? 0 : own.countAt(id, now);
             candidates.push_back({ id, "a", 6, 1, 0, 1, known });
         }
         const auto placed = choice.choose(candidates, { {}, 0, "a", random() }, idle, now);
@@ -62,12 +62,12 @@
         own.recordOutcome("pay", placed->server, isFailure, now);
         result.failed += isFailure ? 1 : 0;
         ++result.sent[placed->server.str()];
-        if (how != awareness::Told || i % 5 != 0)
+        if (sharing != failure_sharing::Shared || i % 5 != 0)
             continue;
-        for (recent_failures& teller : failures) {
-            for (const auto& note : teller.takeUpdates()) {
+        for (recent_failures& sender : failures) {
+            for (const auto& note : sender.takeUpdates()) {
                 for (recent_failures& other : failures) {
-                    if (&other != &teller)
+                    if (&other != &sender)
                         other.applyUpdate(note, now);
                 }
             }
@@ -76,10 +76,10 @@
     return result;
 }
 
-/// What engines got of a load.
+/// How a load was distributed over the engines.
 struct engine_result {
-    double overLimit = 0; ///< share of requests sent to an engine above twice the mean and three
-    double atFailing = 0; ///< share sent to engines where requests failed
+    double overLimit = 0; ///< fraction of requests sent to an engine above twice the mean plus three
+    double atFailing = 0; ///< fraction of requests sent to engines with recent failures
 };
 
 double meanOf(std::size_t running, std::size_t engines)
@@ -87,10 +87,10 @@
     return static_cast<double>(running) / static_cast<double>(engines);
 }
 
-/// A hundred prompts a second of 0.6 s each, about thirty documents, over seven nodes that tell their loads
-/// four times a second; at eight of twelve engines so many requests have failed of late, and they get that
-/// weight after an ejection.
-engine_result playEngines(double failures, double weight)
+/// Places a hundred prompts a second of 0.6 s each, about thirty documents, over seven nodes that exchange
+/// their loads four times a second. Eight of twelve engines have `failures` recent failures and the weight
+/// `weight` after an ejection.
+engine_result runPrompts(double failures, double weight)
 {
     constexpr std::size_t nodes = 7;
     constexpr std::size_t engines = 12;
@@ -103,7 +103,7 @@
         candidates.push_back({ server_id("engine-" + std::to_string(i)), "a", 128, i < 8 ? weight : 1, 700000,
             1, i < 8 ? failures : 0 });
     std::map<server_id, int> running;
-    std::vector<std::pair<std::size_t, server_id>> underWay;
+    std::vector<std::pair<std::size_t, server_id>> inFlight;
     std::mt19937 random(20261203);
     engine_result result;
     for (int i = 0; i < requests; ++i) {
@@ -114,7 +114,7 @@
         const auto placed
             = choices.at(node).choose(candidates, { parts, 6500, "a", random() }, loads.at(node), now);
         const auto chosen = std::ranges::find(candidates, placed->server, &server_candidate::id);
-        result.overLimit += running[chosen->id] + 1 > 2 * meanOf(underWay.size(), engines) + 3 ? 1 : 0;
+        result.overLimit += running[chosen->id] + 1 > 2 * meanOf(inFlight.size(), engines) + 3 ? 1 : 0;
         result.atFailing += chosen - candidates.begin() < 8 ? 1 : 0;
         choices.at(node).recordSent(*chosen, parts);
         for (const auto& note : choices.at(node).takeUpdates()) {
@@ -125,20 +125,20 @@
         }
         loads.at(node).started(chosen->id, 0);
         ++running[chosen->id];
-        underWay.emplace_back(node, chosen->id);
-        if (underWay.size() > 60) {
-            const auto [from, server] = underWay.front();
+        inFlight.emplace_back(node, chosen->id);
+        if (inFlight.size() > 60) {
+            const auto [from, server] = inFlight.front();
             loads.at(from).finished(server);
             --running[server];
-            underWay.erase(underWay.begin());
+            inFlight.erase(inFlight.begin());
         }
-        const auto teller = static_cast<std::size_t>(i % 25);
-        if (teller >= nodes)
+        const auto sender = static_cast<std::size_t>(i % 25);
+        if (sender >= nodes)
             continue;
         for (std::size_t other = 0; other < nodes; ++other) {
-            if (other != teller)
+            if (other != sender)
                 loads.at(other).updatePeer(
-                    utils::node_id("n" + std::to_string(teller)), loads.at(teller).ownShares(), now);
+                    utils::node_id("n" + std::to_string(sender)), loads.at(sender).ownShares(), now);
         }
     }
     result.overLimit /= requests;
@@ -151,59 +151,61 @@
 BOOST_AUTO_TEST_SUITE(recently_failed)
 
 // Eight of twelve engines lose answers, then the fault ends, and for some seconds all nodes still prefer the
-// four others. Each sees the loads of its peers a quarter of a second old, so together they overload these
-// four: callers there wait behind each other while eight engines idle.
-BOOST_AUTO_TEST_CASE(engines_that_do_not_fail_are_not_overrun)
+// four others. Each node sees the loads of its peers a quarter of a second late, so together they overload
+// these four: requests queue there while eight engines are idle.
+BOOST_AUTO_TEST_CASE(engines_without_failures_are_not_overloaded)
 {
-    const engine_result calm = playEngines(0, 1);
-    const engine_result after = playEngines(8, 0.3);
-    BOOST_TEST_MESSAGE("above twice the mean: calm " << calm.overLimit << ", failures known "
-                                                     << after.overLimit << "; at failing engines "
-                                                     << calm.atFailing << ", " << after.atFailing);
-    // Half of what the users allow in calm seconds.
-    BOOST_TEST(after.overLimit <= 0.015);
-    BOOST_TEST(after.atFailing < calm.atFailing);
+    const engine_result healthy = runPrompts(0, 1);
+    const engine_result degraded = runPrompts(8, 0.3);
+    BOOST_TEST_MESSAGE("above twice the mean: no failures "
+        << healthy.overLimit << ", recent failures " << degraded.overLimit << "; at failing engines "
+        << healthy.atFailing << ", " << degraded.atFailing);
+    // Half of what the users accept without failures.
+    BOOST_TEST(degraded.overLimit <= 0.015);
+    BOOST_TEST(degraded.atFailing < healthy.atFailing);
 }
 
-// Two of three replicas lose the answers of every tenth payment, each of which the caller must be told as
-// unknown; their health is good and five in a row never fail. The third has room for all payments. A node
-// that knows only its own failures sees one in five seconds; nodes that tell each other go where none fails.
-BOOST_AUTO_TEST_CASE(payments_go_where_none_fails)
+// Two of three replicas lose the answers of every tenth payment, whose outcome must be reported to the caller
+// as unknown. Their health checks pass and five requests in a row never fail. The third replica has room for
+// all payments. A node that knows only its own failures sees one in five seconds; nodes that exchange theirs
+// use the replica without failures.
+BOOST_AUTO_TEST_CASE(payments_go_to_the_replica_without_failures)
 {
     const fleet_load load { { 0.1, 0.1, 0 }, 2000 };
-    const load_result blind = play(load, awareness::None);
-    const load_result own = play(load, awareness::Own);
-    const load_result told = play(load, awareness::Told);
-    BOOST_TEST_MESSAGE("payments lost of " << load.requests << ": " << blind.failed << ", by own failures "
-                                           << own.failed << ", told " << told.failed);
-    BOOST_TEST(told.failed < own.failed);
-    BOOST_TEST(own.failed < blind.failed);
-    BOOST_TEST(told.failed * 3 < blind.failed);
+    const load_result unaware = runPayments(load, failure_sharing::None);
+    const load_result own = runPayments(load, failure_sharing::Own);
+    const load_result shared = runPayments(load, failure_sharing::Shared);
+    BOOST_TEST_MESSAGE("payments lost of " << load.requests << ": " << unaware.failed
+                                           << ", with own failures " << own.failed
+                                           << ", with shared failures " << shared.failed);
+    BOOST_TEST(shared.failed < own.failed);
+    BOOST_TEST(own.failed < unaware.failed);
+    BOOST_TEST(shared.failed * 3 < unaware.failed);
 }
 
-// All replicas fail alike: no one is preferred for long, and each gets its share.
-BOOST_AUTO_TEST_CASE(common_failures_shift_nothing)
+// All replicas fail alike: none is preferred for long, and each gets its share of the requests.
+BOOST_AUTO_TEST_CASE(failures_on_all_replicas_shift_no_requests)
 {
-    const load_result told = play({ { 0.15, 0.15, 0.15 }, 2000 }, awareness::Told);
-    for (const auto& [server, count] : told.sent)
+    const load_result shared = runPayments({ { 0.15, 0.15, 0.15 }, 2000 }, failure_sharing::Shared);
+    for (const auto& [server, count] : shared.sent)
         BOOST_TEST(count > 2000 / 5, server);
 }
 
-// A route of which every seventh request fails wherever it runs, and its replicas are equal.
-BOOST_AUTO_TEST_CASE(what_a_route_fails_by_itself_is_learned)
+// Every seventh request of a route fails on any server, and its replicas are equal.
+BOOST_AUTO_TEST_CASE(the_baseline_failure_rate_of_a_route_is_learned)
 {
     recent_failures failures;
     const server_id server("press-0");
     for (int i = 0; i < 700; ++i)
         failures.recordOutcome("look", server, i % 7 == 0, at(100ms * i));
-    // A seventh of what was seen in some four seconds would be 4 failures.
+    // Without the baseline, a seventh of the requests of some four seconds would count as 4 failures.
     BOOST_TEST(failures.countAt(server, at(70s)) < 2);
     for (int i = 0; i < 10; ++i)
         failures.recordOutcome("look", server, true, at(70s));
     BOOST_TEST(failures.countAt(server, at(70s)) > 6);
 }
 
-BOOST_AUTO_TEST_CASE(failures_are_told_once_and_forgotten)
+BOOST_AUTO_TEST_CASE(failures_are_sent_once_and_expire)
 {
     recent_failures failures;
     recent_failures peer;
--- a/tests/auto/decisions/tst_responsetimes.cpp
+++ b/tests/auto/decisions/tst_responsetimes.cpp
@@ -17,9 +17,9 @@
     return utils::time_point {} + 1h + since;
 }
 
-/// What a node has learned of engines that read so many tokens a second, from prompts of 100 to 12,000 tokens
-/// of which a part was held without its knowledge.
-response_times learnedFrom(double tokensPerSecond)
+/// Estimates of a node for engines with that prefill speed, after 300 prompts of 100 to 12,000 tokens. The
+/// noise stands for tokens that an engine held without the node's knowledge.
+response_times measuredTimes(double tokensPerSecond)
 {
     response_times times;
     std::mt19937 random(7);
@@ -35,21 +35,21 @@
 
 BOOST_AUTO_TEST_SUITE(responsetimes)
 
-// Guards against limits fit for one kind of engine: forecasts follow what the engines at hand do.
-BOOST_AUTO_TEST_CASE(forecasts_follow_the_engines_at_hand)
+// Guards against limits that suit only one speed of engine: forecasts follow the measured engines.
+BOOST_AUTO_TEST_CASE(forecasts_follow_the_measured_engines)
 {
     for (const double speed : { 10000.0, 30000.0, 60000.0, 120000.0 }) {
-        const response_times times = learnedFrom(speed);
+        const response_times times = measuredTimes(speed);
         const double forecast = utils::toSeconds(times.forecast(20000).expected());
         BOOST_TEST(forecast > 0.8 * 20000 / speed);
         BOOST_TEST(forecast < 1.25 * 20000 / speed + 0.05);
     }
 }
 
-// Guards against short answers washing out what long prompts have told of the reading.
-BOOST_AUTO_TEST_CASE(short_prompts_tell_nothing_of_the_reading)
+// Guards against short prompts displacing the prefill speed that was measured with long ones.
+BOOST_AUTO_TEST_CASE(short_prompts_do_not_change_the_prefill_speed)
 {
-    response_times times = learnedFrom(20000);
+    response_times times = measuredTimes(20000);
     const double before = times.secondsPerToken();
     for (int i = 0; i < 2000; ++i)
         times.recordFirstByte(20, 400ms);
@@ -57,28 +57,29 @@
     BOOST_TEST((times.forecast(0).expected() > 350ms));
 }
 
-// Guards against prompts that no engine ever ends: each was left for dark in the middle of reading and the
-// prompt begun anew elsewhere, while the parts that others share were read again and again.
-BOOST_AUTO_TEST_CASE(a_slow_engine_that_reads_a_long_prompt_is_not_dark)
+// Guards against prompts that no engine ever finishes: each engine was treated as failed in the middle of the
+// prefill and the prompt started again on another one, so that shared parts were prefilled over and over.
+BOOST_AUTO_TEST_CASE(a_slow_engine_in_a_long_prefill_is_not_silent)
 {
-    const response_times times = learnedFrom(25000);
+    const response_times times = measuredTimes(25000);
     const utils::duration limit = silence_detector::limitFor(1s, true);
     const server_id engine("engine");
     silence_detector silence;
     silence.requestSent(engine, 1, limit, times.forecast(30000).latest(), at(0s));
     silence.requestSent(engine, 2, limit, times.forecast(300).latest(), at(200ms));
     BOOST_TEST(!silence.isSilent(engine, at(1400ms)));
-    // Once it is read, the usual limit holds again.
+    // After the prefill the usual limit applies again.
     silence.dataReceived(engine, at(1400ms));
     silence.prefillFinished(engine, 1);
     BOOST_TEST(!silence.isSilent(engine, at(2300ms)));
     BOOST_TEST(silence.isSilent(engine, at(2500ms)));
 }
 
-// Guards against patience with a dark engine: without a long prompt there it is left as soon as ever.
-BOOST_AUTO_TEST_CASE(an_engine_without_long_prompts_is_left_at_the_usual_limit)
+// Guards against waiting longer than needed for a failed engine: without a long prompt, the usual limit
+// applies.
+BOOST_AUTO_TEST_CASE(an_engine_without_long_prompts_is_silent_after_the_usual_limit)
 {
-    const response_times times = learnedFrom(60000);
+    const response_times times = measuredTimes(60000);
     const utils::duration limit = silence_detector::limitFor(1s, true);
     const server_id engine("engine");
     silence_detector silence;
--- a/tests/auto/decisions/tst_serverchoice.cpp
+++ b/tests/auto/decisions/tst_serverchoice.cpp
@@ -32,10 +32,10 @@
     return result;
 }
 
-/// A prompt about document `thing`: a shared part and one of its own.
-std::vector<prompt_part> promptAbout(std::uint64_t thing, std::uint64_t own)
+/// A prompt about a document: the shared part of the document and a part of its own.
+std::vector<prompt_part> promptAbout(std::uint64_t document, std::uint64_t own)
 {
-    return { { thing, 10000 }, { 1000000 + own, 1300 } };
+    return { { document, 10000 }, { 1000000 + own, 1300 } };
 }
 
 placement_query queryFor(const std::vector<prompt_part>& parts, std::uint64_t salt)
@@ -46,25 +46,25 @@
     return { parts, tokens, "a", salt };
 }
 
-/// Requests in turn over some nodes that each see all loads, while three engines are added to nine; `share`
-/// says whether nodes tell each other where prompts went. Counts the tokens of shared parts that engines
-/// read more than once.
-std::uint64_t tokensReadAgain(bool share)
+/// Places requests over seven nodes that each see all loads, while three engines are added to nine. `share`:
+/// nodes exchange placement updates. Returns the tokens of shared parts that a further engine prefilled
+/// again.
+std::uint64_t tokensPrefilledAgain(bool share)
 {
     constexpr int nodes = 7;
-    constexpr int things = 30;
+    constexpr int documents = 30;
     constexpr std::size_t running = 60;
     constexpr std::uint64_t requests = 2000;
     std::vector<server_choice> choices(nodes);
     std::vector<server_loads> loads(1);
-    std::map<std::uint64_t, std::set<std::string>> readBy;
-    std::vector<server_id> underWay;
+    std::map<std::uint64_t, std::set<std::string>> prefilledBy;
+    std::vector<server_id> inFlight;
     std::mt19937_64 random(20261203);
-    std::uint64_t again = 0;
+    std::uint64_t prefilledAgain = 0;
     for (std::uint64_t i = 0; i < requests; ++i) {
         const auto candidates = engines(9 + static_cast<int>(4 * i / requests));
-        const std::uint64_t thing = random() % things;
-        const auto parts = promptAbout(thing, i);
+        const std::uint64_t document = random() % documents;
+        const auto parts = promptAbout(document, i);
         server_choice& choice = choices[random() % nodes];
         const auto placed = choice.choose(candidates, queryFor(parts, i), loads[0], at(0s));
         BOOST_REQUIRE(placed.has_value());
@@ -76,52 +76,52 @@
                     other.applyUpdate(note, chosen->cacheTokens);
             }
         }
-        auto& readers = readBy[thing];
-        if (!readers.empty() && !readers.contains(placed->server.str()))
-            again += parts.front().tokens;
-        readers.insert(placed->server.str());
+        auto& holders = prefilledBy[document];
+        if (!holders.empty() && !holders.contains(placed->server.str()))
+            prefilledAgain += parts.front().tokens;
+        holders.insert(placed->server.str());
         loads[0].started(placed->server, 0);
-        underWay.push_back(placed->server);
-        if (underWay.size() > running) {
-            const std::size_t done = random() % underWay.size();
-            loads[0].finished(underWay[done]);
-            underWay.erase(underWay.begin() + static_cast<std::ptrdiff_t>(done));
+        inFlight.push_back(placed->server);
+        if (inFlight.size() > running) {
+            const std::size_t done = random() % inFlight.size();
+            loads[0].finished(inFlight[done]);
+            inFlight.erase(inFlight.begin() + static_cast<std::ptrdiff_t>(done));
         }
     }
-    return again;
+    return prefilledAgain;
 }
 
-/// What engines did with the shared tokens of a load.
+/// Shared tokens that engines prefilled and copied.
 struct prompt_work {
-    std::uint64_t read = 0; ///< tokens
+    std::uint64_t prefilled = 0; ///< tokens
     std::uint64_t copied = 0; ///< tokens
 };
 
-/// 180 requests, every third about one document, the others about 29, over nine engines; 60 run at once.
-/// `copies`: engines copy what another holds in place of reading it.
+/// Places 180 requests over nine engines, 60 running concurrently: every third is about one document, the
+/// others about 29 others. `copies`: engines copy parts that another engine holds instead of prefilling them.
 prompt_work workOfHotDocument(bool copies)
 {
     const auto candidates = engines(9);
     server_choice choice;
     server_loads loads;
-    std::map<std::uint64_t, std::set<std::string>> readBy;
-    std::vector<server_id> underWay;
+    std::map<std::uint64_t, std::set<std::string>> prefilledBy;
+    std::vector<server_id> inFlight;
     prompt_work work;
     for (std::uint64_t i = 0; i < 180; ++i) {
-        const std::uint64_t thing = i % 3 == 0 ? 0 : 1 + i % 29;
-        const auto parts = promptAbout(thing, i);
+        const std::uint64_t document = i % 3 == 0 ? 0 : 1 + i % 29;
+        const auto parts = promptAbout(document, i);
         const auto placed = choice.choose(candidates, queryFor(parts, i), loads, at(0s));
         const auto chosen = std::ranges::find(candidates, placed->server, &server_candidate::id);
         const auto source = choice.sourceFor(*chosen, candidates, parts);
-        if (!readBy[thing].contains(placed->server.str()))
-            (copies && source ? work.copied : work.read) += parts.front().tokens;
-        readBy[thing].insert(placed->server.str());
+        if (!prefilledBy[document].contains(placed->server.str()))
+            (copies && source ? work.copied : work.prefilled) += parts.front().tokens;
+        prefilledBy[document].insert(placed->server.str());
         choice.recordSent(*chosen, parts);
         loads.started(placed->server, 0);
-        underWay.push_back(placed->server);
-        if (underWay.size() > 60) {
-            loads.finished(underWay.front());
-            underWay.erase(underWay.begin());
+        inFlight.push_back(placed->server);
+        if (inFlight.size() > 60) {
+            loads.finished(inFlight.front());
+            inFlight.erase(inFlight.begin());
         }
     }
     return work;
@@ -131,22 +131,23 @@
 
 BOOST_AUTO_TEST_SUITE(server_choosing)
 
-// A hot document outgrows its engine, and each further engine that gets it reads it again: 180 ms in which
-// nobody there gets a token. With a copy from the engine that holds it, each document is read once.
-BOOST_AUTO_TEST_CASE(an_engine_copies_what_another_holds)
+// A hot document needs more than one engine, and each further engine prefills it again: 180 ms in which no
+// request there gets a token. With copies from the engine that holds it, each document is prefilled once.
+BOOST_AUTO_TEST_CASE(an_engine_copies_parts_that_another_engine_holds)
 {
     const prompt_work alone = workOfHotDocument(false);
     const prompt_work copying = workOfHotDocument(true);
-    BOOST_TEST_MESSAGE("tokens read: alone " << alone.read << ", copying " << copying.read << " and "
-                                             << copying.copied << " copied");
-    BOOST_TEST(copying.read == 30u * 10000u);
+    BOOST_TEST_MESSAGE("tokens prefilled: without copies " << alone.prefilled << ", with copies "
+                                                           << copying.prefilled << " and " << copying.copied
+                                                           << " copied");
+    BOOST_TEST(copying.prefilled == 30u * 10000u);
     BOOST_TEST(copying.copied > 0u);
-    BOOST_TEST(alone.read == copying.read + copying.copied);
+    BOOST_TEST(alone.prefilled == copying.prefilled + copying.copied);
 }
 
-// The source must hold more than the engine that copies, by more than is read while a copy begins; an engine
-// that cannot be asked is none, and one that drains is one.
-BOOST_AUTO_TEST_CASE(a_source_holds_more_than_the_one_that_copies)
+// A source must hold at least minCopyTokens more than the copying engine. An engine of weight 0 is no source;
+// a draining engine is one.
+BOOST_AUTO_TEST_CASE(a_copy_source_holds_more_than_the_copying_engine)
 {
     auto candidates = engines(3);
     server_choice choice;
@@ -163,21 +164,21 @@
     BOOST_TEST(!choice.sourceFor(candidates[0], candidates, small).has_value());
 }
 
-// Thirty documents over seven nodes, and engines that are added. A new engine is first of some documents'
-// rankings: nodes that know only what they sent themselves send a document there, while others stay with the
-// engine that holds it, so it is read at both. Nodes that tell each other stay together.
-BOOST_AUTO_TEST_CASE(telling_peers_keeps_shared_parts_at_one_engine)
+// Thirty documents over seven nodes, while engines are added. A new engine is first in some documents'
+// rankings: nodes that know only their own requests send a document there while others stay with the engine
+// that holds it, so both prefill it. Nodes that exchange placement updates stay with one engine.
+BOOST_AUTO_TEST_CASE(placement_updates_keep_shared_parts_on_one_engine)
 {
-    const std::uint64_t alone = tokensReadAgain(false);
-    const std::uint64_t told = tokensReadAgain(true);
-    BOOST_TEST_MESSAGE("tokens read again: alone " << alone << ", told " << told);
-    BOOST_TEST(told < alone);
-    // At most one more engine a document.
-    BOOST_TEST(told <= 30u * 10000u);
+    const std::uint64_t alone = tokensPrefilledAgain(false);
+    const std::uint64_t shared = tokensPrefilledAgain(true);
+    BOOST_TEST_MESSAGE("tokens prefilled again: without updates " << alone << ", with updates " << shared);
+    BOOST_TEST(shared < alone);
+    // At most one additional engine per document.
+    BOOST_TEST(shared <= 30u * 10000u);
 }
 
-// Every third request is about one document. One engine cannot carry it; several share it, and no engine
-// is far above the mean.
+// Every third request is about one document, which overloads a single engine. Several engines share it, and
+// no engine is far above the mean load.
 BOOST_AUTO_TEST_CASE(a_hot_part_spreads_over_engines_within_the_bound)
 {
     auto candidates = engines(9);
@@ -202,22 +203,22 @@
     BOOST_TEST(hotAt.size() <= 5u);
 }
 
-// All engines are new: without anything known, nodes must still agree on the engine of a document.
-BOOST_AUTO_TEST_CASE(nodes_that_know_nothing_agree)
+// All engines are new: nodes without any placement data must still agree on a document's engine.
+BOOST_AUTO_TEST_CASE(nodes_without_placement_data_choose_the_same_engine)
 {
     const auto candidates = engines(9);
     const server_loads loads;
-    for (std::uint64_t thing = 0; thing < 50; ++thing) {
+    for (std::uint64_t document = 0; document < 50; ++document) {
         const server_choice first;
         const server_choice second;
-        const auto parts = promptAbout(thing, thing);
+        const auto parts = promptAbout(document, document);
         BOOST_TEST(first.choose(candidates, queryFor(parts, 1), loads, at(0s))->server
             == second.choose(candidates, queryFor(parts, 2), loads, at(0s))->server);
     }
 }
 
-// An engine restarts under its id: it holds nothing of before.
-BOOST_AUTO_TEST_CASE(a_new_life_of_an_engine_holds_nothing)
+// An engine restarts under the same id: its cache is empty.
+BOOST_AUTO_TEST_CASE(a_restarted_engine_holds_nothing)
 {
     auto candidates = engines(3);
     server_choice choice;
@@ -249,8 +250,9 @@
     BOOST_TEST(!choice.choose({}, { {}, 0, "a", 1 }, loads, at(0s)).has_value());
 }
 
-// Requests of a plain service stay in the data centre while it has room, and cross before they queue.
-BOOST_AUTO_TEST_CASE(plain_requests_cross_only_for_room)
+// Requests of a plain service stay in the data centre while it has free slots, and go to another data centre
+// before they queue.
+BOOST_AUTO_TEST_CASE(plain_requests_leave_the_data_centre_only_when_it_is_full)
 {
     std::vector<server_candidate> candidates { { server_id("near"), "a", 6, 1, 0, 1 },
         { server_id("far"), "b", 6, 1, 0, 1 } };
@@ -267,8 +269,8 @@
     BOOST_TEST(loads.own(server_id("near")).requests <= 8u);
 }
 
-// A peer's load counts while it is fresh; a server's own word counts where it tells of more.
-BOOST_AUTO_TEST_CASE(loads_of_peers_and_of_the_server_itself_add_up)
+// A peer's load counts while it is fresh; a server's own report counts where it is higher.
+BOOST_AUTO_TEST_CASE(total_load_combines_peer_shares_and_server_reports)
 {
     server_loads loads;
     const server_id a("a");
@@ -288,16 +290,17 @@
     BOOST_TEST(loads.ownShares().empty());
 }
 
-// Guards against engines taken for holders of a prompt that they were stopped from reading: whoever sent it
-// there next allowed it no time to read, and left it in the middle again. Other nodes must hear of it too.
-BOOST_AUTO_TEST_CASE(a_prompt_that_was_not_read_is_not_held)
+// Guards against counting a prompt as held when its request ended before the prefill finished: the next node
+// that sent it there allowed no time for the prefill and gave up in the middle of it again. Other nodes must
+// learn of the withdrawal too.
+BOOST_AUTO_TEST_CASE(a_prompt_without_finished_prefill_is_not_held)
 {
     const server_candidate engine { server_id("engine"), "a", 64, 1, 500000, 1 };
     const std::vector<prompt_part> parts { { 1, 600 }, { 2, 30000 }, { 3, 1300 } };
     const std::vector<prompt_part> first { { 1, 600 }, { 9, 100 } };
     server_choice choice;
     server_choice peer;
-    const auto tell = [&] {
+    const auto exchangeUpdates = [&] {
         for (const decisions::placement_update& note : choice.takeUpdates())
             peer.applyUpdate(note, engine.cacheTokens);
     };
@@ -306,17 +309,17 @@
     };
     choice.recordSent(engine, first);
     choice.recordSent(engine, parts);
-    tell();
+    exchangeUpdates();
     BOOST_TEST(heldBy(choice) == 31900u);
     BOOST_TEST(heldBy(peer) == 30600u);
     choice.recordWithdrawn(engine, parts, 600);
-    tell();
+    exchangeUpdates();
     BOOST_TEST(heldBy(choice) == 600u);
     BOOST_TEST(heldBy(peer) == 600u);
 }
 
-// Guards against engines left for dark while they read what another node has sent them.
-BOOST_AUTO_TEST_CASE(prompts_of_other_nodes_are_given_time)
+// Guards against treating an engine as failed while it prefills a prompt from another node.
+BOOST_AUTO_TEST_CASE(prompts_of_other_nodes_extend_the_silence_limit)
 {
     const server_id engine("engine");
     decisions::silence_detector silence;
@@ -331,28 +334,29 @@
     BOOST_TEST(loads.maxPeerPromptTokens(engine, at(5s)) == 0u);
 }
 
-// A server goes dark with its connections open. Nothing is heard of it for longer than a first byte takes,
-// so new requests go elsewhere; a server that is busy with a long prompt is heard by its other streams.
-BOOST_AUTO_TEST_CASE(a_dark_server_is_told_from_a_busy_one)
+// A server stops responding with its connections open. No data arrives from it for longer than a first byte
+// takes, so new requests go to other servers. A server that is busy with a long prompt still sends data on
+// its other streams.
+BOOST_AUTO_TEST_CASE(an_unresponsive_server_is_distinguished_from_a_busy_one)
 {
     decisions::silence_detector silence;
-    const server_id dark("dark");
+    const server_id unresponsive("dark");
     const server_id busy("busy");
     const utils::duration limit = decisions::silence_detector::limitFor(1s, true);
     BOOST_TEST((limit == 1s));
     BOOST_TEST((decisions::silence_detector::limitFor(300ms, false) == 400ms));
-    silence.requestSent(dark, 1, limit, 0s, at(0s));
+    silence.requestSent(unresponsive, 1, limit, 0s, at(0s));
     silence.requestSent(busy, 2, limit, 0s, at(0s));
     silence.requestSent(busy, 3, limit, 0s, at(0s));
     for (int i = 1; i <= 20; ++i)
         silence.dataReceived(busy, at(i * 100ms));
-    BOOST_TEST(!silence.isSilent(dark, at(900ms)));
-    BOOST_TEST(silence.isSilent(dark, at(1100ms)));
+    BOOST_TEST(!silence.isSilent(unresponsive, at(900ms)));
+    BOOST_TEST(silence.isSilent(unresponsive, at(1100ms)));
     BOOST_TEST(!silence.isSilent(busy, at(2s)));
-    silence.dataReceived(dark, at(3s));
-    BOOST_TEST(!silence.isSilent(dark, at(3s)));
-    silence.requestEnded(dark, 1);
-    BOOST_TEST(!silence.isSilent(dark, at(60s)));
+    silence.dataReceived(unresponsive, at(3s));
+    BOOST_TEST(!silence.isSilent(unresponsive, at(3s)));
+    silence.requestEnded(unresponsive, 1);
+    BOOST_TEST(!silence.isSilent(unresponsive, at(60s)));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/decisions/tst_servicewindow.cpp
+++ b/tests/auto/decisions/tst_servicewindow.cpp
@@ -16,24 +16,24 @@
     return utils::time_point {} + 1h + since;
 }
 
-/// Callers of a node whose data centre has no other while it leaves: how many requests it turns away.
-struct turned_away {
+/// Requests that a node refuses while it shuts down as the only node of its data centre.
+struct refused_requests {
     unsigned all = 0;
-    unsigned shortOnes = 0;
+    unsigned shortRequests = 0;
 };
 
-turned_away turnedAwayWhileLeaving(bool takesShortOnes)
+refused_requests refusedDuringShutdown(bool acceptsShort)
 {
     service_window window({}, at(0s));
     window.beginStop(at(10s));
     std::mt19937 random(20261203);
-    turned_away count;
+    refused_requests count;
     for (utils::duration since {}; since < 7400ms; since += 10ms) {
         const bool isShort = random() % 3 != 0;
         const utils::duration timeout = isShort ? 800ms : 12s;
-        const bool isTaken = takesShortOnes ? window.mayAccept(timeout, at(10s + since)) : since < 2900ms;
-        count.all += isTaken ? 0 : 1;
-        count.shortOnes += !isTaken && isShort ? 1 : 0;
+        const bool isAccepted = acceptsShort ? window.mayAccept(timeout, at(10s + since)) : since < 2900ms;
+        count.all += isAccepted ? 0 : 1;
+        count.shortRequests += !isAccepted && isShort ? 1 : 0;
     }
     return count;
 }
@@ -42,9 +42,9 @@
 
 BOOST_AUTO_TEST_SUITE(service_windows)
 
-// All nodes come back from a loss of power and a crowd connects. A node answers once it has read the
-// configuration, and does not wait for a store that does not answer.
-BOOST_AUTO_TEST_CASE(a_starting_node_waits_for_what_it_needs)
+// All nodes start after a loss of power and many callers connect. A node answers once it has read the
+// configuration; if the store does not answer, it waits no longer than startupWait.
+BOOST_AUTO_TEST_CASE(a_starting_node_waits_for_its_configuration)
 {
     const service_window window({}, at(0s));
     BOOST_TEST(!window.isOpen(false, at(0s)));
@@ -54,10 +54,10 @@
     BOOST_TEST((window.opensAt() == at(300ms)));
 }
 
-// The caller of a node that leaves connects after its balancer has heard of it, since the data centre has
-// nobody else. A payment of 800 ms at most is taken until 6.6 s after the signal, a stream of 12 s only
-// as long as the balancer may not know.
-BOOST_AUTO_TEST_CASE(a_leaving_node_takes_what_surely_ends)
+// Requests arrive at a node after its balancer was notified of the shutdown, since the data centre has no
+// other node. A payment with a timeout of 800 ms is accepted until 6.6 s after the signal, a stream with one
+// of 12 s only during the Leaving phase, while the balancer may not know yet.
+BOOST_AUTO_TEST_CASE(a_leaving_node_accepts_requests_that_end_in_time)
 {
     service_window window({}, at(0s));
     BOOST_TEST(window.mayAccept(12s, at(9s)));
@@ -66,16 +66,17 @@
     BOOST_TEST(!window.mayAccept(12s, at(12900ms)));
     BOOST_TEST(window.mayAccept(800ms, at(16600ms)));
     BOOST_TEST(!window.mayAccept(800ms, at(16601ms)));
-    const turned_away strict = turnedAwayWhileLeaving(false);
-    const turned_away chosen = turnedAwayWhileLeaving(true);
-    BOOST_TEST_MESSAGE("turned away: " << strict.all << " if nothing is taken, " << chosen.all);
-    BOOST_TEST(chosen.shortOnes * 3 < strict.shortOnes);
-    // The long ones, a third of all, are turned away either way.
-    BOOST_TEST(chosen.all * 3 < strict.all * 2);
+    const refused_requests strict = refusedDuringShutdown(false);
+    const refused_requests selective = refusedDuringShutdown(true);
+    BOOST_TEST_MESSAGE(
+        "refused if nothing is accepted: " << strict.all << ", if short requests are: " << selective.all);
+    BOOST_TEST(selective.shortRequests * 3 < strict.shortRequests);
+    // The long ones, a third of all, are refused either way.
+    BOOST_TEST(selective.all * 3 < strict.all * 2);
 }
 
-// Whatever was taken has ended when the process does: its own timeout lies before the end.
-BOOST_AUTO_TEST_CASE(nothing_that_is_taken_late_outlives_the_process)
+// Every accepted request ends before the process exits: its timeout elapses before then.
+BOOST_AUTO_TEST_CASE(requests_accepted_late_end_before_the_process)
 {
     const window_limits limits;
     service_window window(limits, at(0s));
