--- a/src/libs/gateway/attempttracker.cpp
+++ b/src/libs/gateway/attempttracker.cpp
@@ -76,7 +76,8 @@
     if (isFailure)
         m_context.health.failed(m_plan.service, m_server, now);
     if (isFailure || outcome == attempt_outcome::Answered)
-        m_context.failures.recordOutcome(m_plan.route->name, m_server, isFailure || status >= firstServerErrorStatus, now);
+        m_context.failures.recordOutcome(
+            m_plan.route->name, m_server, isFailure || status >= firstServerErrorStatus, now);
     if (outcome != attempt_outcome::Answered)
         return;
     m_context.poison.completed(m_plan.digest, now);
@@ -109,7 +110,8 @@
 
 utils::time_point attempt_tracker::timeoutAt(utils::duration limit, utils::time_point now) const
 {
-    const utils::time_point serverLastReceivedAt = std::max(m_lastReceivedAt, m_context.silence.lastHeard(m_server));
+    const utils::time_point serverLastReceivedAt
+        = std::max(m_lastReceivedAt, m_context.silence.lastHeard(m_server));
     const utils::duration serverLimit
         = std::max({ m_serverSilence, m_context.silence.longestPrefill(m_server),
             m_context.peerPrefillTime(m_plan.service, m_server, now) });
--- a/src/libs/gateway/nodemetrics.cpp
+++ b/src/libs/gateway/nodemetrics.cpp
@@ -48,16 +48,15 @@
     }
 
     counter_family& requests
-        = counters("lycheefront_requests_total", "Finished requests, by service and outcome");
+        = counters("lycheefront_requests_total", "Requests ended, by service and outcome");
     counter_family& attempts
-        = counters("lycheefront_attempts_total", "Finished attempts at backend servers, by service and end");
+        = counters("lycheefront_attempts_total", "Attempts at backend servers, by service and end");
     counter_family& repeats
-        = counters("lycheefront_repeats_total", "Attempts that repeat an earlier one, by service");
+        = counters("lycheefront_repeats_total", "Attempts that were repeats at the service");
     counter_family& storeCalls = counters("lycheefront_store_calls_total", "Calls to the store, by end");
-    counter_family& heartbeats
-        = counters("lycheefront_peer_beats_total", "Heartbeats between nodes, by direction");
-    counter_family& fetches = counters(
-        "lycheefront_view_fetches_total", "Copies of the view of the store requested from peers, by end");
+    counter_family& heartbeats = counters("lycheefront_peer_beats_total", "Beats sent and received");
+    counter_family& fetches
+        = counters("lycheefront_view_fetches_total", "Copies of the store's view asked of peers");
     histogram_family& seconds
         = histograms("lycheefront_request_seconds", "Time from a request's first byte to its end");
     histogram_family& firstEvents = histograms(
@@ -70,19 +69,19 @@
         "Time since the configuration in force was known to be the newest");
     prometheus::Gauge& behind = gauge("lycheefront_server_view_behind_seconds",
         "Time since changes of backend servers were known to be missing");
-    prometheus::Gauge& usable = gauge("lycheefront_servers_usable", "Usable backend servers");
+    prometheus::Gauge& usable = gauge("lycheefront_servers_usable", "Backend servers that take requests");
     prometheus::Gauge& known = gauge("lycheefront_servers_known", "Backend servers with an entry");
-    prometheus::Gauge& peers = gauge("lycheefront_peers", "Live peers");
-    prometheus::Gauge& inProgress = gauge("lycheefront_requests_in_progress", "Requests in progress");
-    prometheus::Gauge& idle = gauge("lycheefront_idle_connections", "Idle connections to backend servers");
+    prometheus::Gauge& peers = gauge("lycheefront_peers", "Other nodes heard lately");
+    prometheus::Gauge& inProgress = gauge("lycheefront_requests_in_progress", "Requests under way");
+    prometheus::Gauge& idle
+        = gauge("lycheefront_idle_connections", "Connections to backend servers in no use");
     prometheus::Gauge& crashStrikes
-        = gauge("lycheefront_crash_strikes", "Strikes against requests that may crash backend servers");
+        = gauge("lycheefront_crash_strikes", "Strikes against requests after crashes");
     prometheus::Gauge& descriptors = gauge("process_open_fds", "Open descriptors");
-    prometheus::Gauge& resident = gauge("process_resident_memory_bytes", "Resident memory in bytes");
-    prometheus::Gauge& dropped
-        = gauge("lycheefront_log_lines_dropped", "Log lines dropped because the reader was too slow");
+    prometheus::Gauge& resident = gauge("process_resident_memory_bytes", "Memory held");
+    prometheus::Gauge& dropped = gauge("lycheefront_log_lines_dropped", "Lines that nobody read in time");
     prometheus::Gauge& timerLag
-        = gauge("lycheefront_work_late_seconds", "Delay of the last heartbeat after it was due");
+        = gauge("lycheefront_work_late_seconds", "How late the last thing due at a set time was done");
     prometheus::Gauge& store = gauge("lycheefront_store_reachable", "1 while the store answers this node");
 };
 
--- a/src/libs/gateway/requestplan.cpp
+++ b/src/libs/gateway/requestplan.cpp
@@ -104,8 +104,7 @@
     plan.configuration = context.configuration;
     plan.route = plan.configuration->findRoute(request.host, request.target);
     if (plan.route == nullptr)
-        return utils::fail(
-            errorUnlessStale(context, error_kind::UnknownRoute, now), "no route");
+        return utils::fail(errorUnlessStale(context, error_kind::UnknownRoute, now), "no route");
     plan.urgency = plan.configuration->urgencyOf(*plan.route, nullptr);
     if (plan.configuration->needsKeys && !plan.route->isPublic) {
         const catalogue::workspace* workspace = plan.configuration->findWorkspace(request.key);
