--- a/src/libs/catalogue/configuration.h
+++ b/src/libs/catalogue/configuration.h
@@ -119,8 +119,7 @@
     void buildUrgencies();
 
     std::map<priority_pair, int> m_urgencyByPriorities;
-    std::unordered_map<std::string, std::size_t>
-        m_routeIndex; ///< host and path prefix to index into `routes`
+    std::unordered_map<std::string, std::size_t> m_routeIndex; ///< host and prefix to index into `routes`
 };
 
 using configuration_ptr = std::shared_ptr<const configuration>;
