--- a/src/libs/fleet/capevidence.h
+++ b/src/libs/fleet/capevidence.h
@@ -6,28 +6,28 @@
 
 namespace fleet {
 
-/// How the share of each server's cap follows from the evidence.
+/// How each server's share of its cap is computed from the evidence.
 enum class share_rule {
-    Proportional, ///< k of n witnesses heard: k/n of each cap
-    Majority ///< everything with a majority, nothing without; kept to compare the two
+    Proportional, ///< k/n of each cap when k of n witnesses are heard
+    Majority ///< the whole cap with a majority, otherwise none; kept for comparison with Proportional
 };
 
-/// The evidence at one moment: which witnesses are heard, and which count. Immutable, so it may be shared
-/// between threads.
+/// Snapshot of the evidence: the witnesses heard and the witness lists that count. Immutable, so it can be
+/// shared between threads.
 struct cap_evidence {
-    std::vector<wire::node_tag> heard; ///< sorted; this node is always among them
-    std::vector<witness_set> lists; ///< each sorted, without witnesses that left
+    std::vector<wire::node_tag> heard; ///< sorted; always contains this node
+    std::vector<witness_set> lists; ///< each sorted; excludes witnesses that have left
     share_rule rule = share_rule::Proportional;
 
     bool operator==(const cap_evidence&) const = default;
 
-    /// Which part of a cap belongs to the witnesses of `claimed` that are heard now, by the list that gives
-    /// the least; 0 to 1. Homes with disjoint claims never have more than one together. Precondition:
-    /// `claimed` is sorted. Thread safe.
+    /// Returns the share of a cap, 0 to 1, for the witnesses of `claimed` that are heard now. The list that
+    /// yields the smallest share decides. The shares of homes with disjoint claims add up to at most 1.
+    /// Precondition: `claimed` is sorted. Thread safe.
     double shareOf(const std::vector<wire::node_tag>& claimed) const;
 };
 
-/// The items of both. Precondition: both are sorted. Thread safe.
+/// Returns the tags contained in both lists. Precondition: both are sorted. Thread safe.
 std::vector<wire::node_tag> intersection(
     const std::vector<wire::node_tag>& first, const std::vector<wire::node_tag>& second);
 
--- a/src/libs/fleet/configspread.cpp
+++ b/src/libs/fleet/configspread.cpp
@@ -10,14 +10,14 @@
 
 namespace {
 
-constexpr std::uint64_t watcherSeed = 4; // apart from the hashes that choose homes and witnesses
+constexpr std::uint64_t watcherSeed = 4; // differs from the seeds for homes and witnesses
 
 std::uint64_t watcherRank(const utils::node_id& node)
 {
     return utils::hash64(node.str(), watcherSeed);
 }
 
-/// Between half and one and a half, so that nodes do not ask in step.
+/// Returns 0.5 to 1.5 times `value`, so that nodes do not send requests at the same time.
 utils::duration jitter(utils::duration value, std::mt19937_64& random)
 {
     return value / 2 + utils::duration(random() % static_cast<std::uint64_t>(value.count()));
@@ -41,16 +41,16 @@
 void config_spread::onPeer(const utils::node_id& peer, utils::config_revision known,
     utils::config_revision inForce, utils::time_point now)
 {
-    know(std::max(known, inForce), now);
-    if (inForce == m_known && inForce > m_inForce && m_holders.insert(peer).second && now >= m_fetchUntil)
+    learnRevision(std::max(known, inForce), now);
+    if (inForce == m_known && inForce > m_inForce && m_holders.insert(peer).second && now >= m_fetchDeadline)
         fetch(now);
 }
 
 void config_spread::onHead(utils::config_revision revision, utils::time_point now)
 {
-    know(revision, now);
-    m_knowsFromHead = m_knowsFromHead || revision == m_known;
-    if (m_known > m_inForce && now >= m_fetchUntil)
+    learnRevision(revision, now);
+    m_isKnownFromHead = m_isKnownFromHead || revision == m_known;
+    if (m_known > m_inForce && now >= m_fetchDeadline)
         fetch(now);
 }
 
@@ -63,29 +63,29 @@
 {
     LF_ASSERT(mayAdopt(revision), return {});
     m_inForce = revision;
-    know(revision, now);
-    m_fetchUntil = now;
-    std::vector<utils::node_id> told;
+    learnRevision(revision, now);
+    m_fetchDeadline = now;
+    std::vector<utils::node_id> notified;
     std::vector<spread_peer> chosen;
     std::ranges::sample(
         m_peers, std::back_inserter(chosen), static_cast<std::ptrdiff_t>(m_options.fanout), m_random);
-    told.reserve(chosen.size());
+    notified.reserve(chosen.size());
     for (const spread_peer& peer : chosen)
-        told.push_back(peer.id);
-    return told;
+        notified.push_back(peer.id);
+    return notified;
 }
 
 void config_spread::onFetchFailed(const utils::node_id& peer, utils::time_point now)
 {
     m_holders.erase(peer);
-    m_fetchUntil = now;
+    m_fetchDeadline = now;
     if (!m_holders.empty())
         fetch(now);
 }
 
 void config_spread::onTick(bool hasMajority, utils::time_point now)
 {
-    if (m_known > m_inForce && now >= m_fetchUntil)
+    if (m_known > m_inForce && now >= m_fetchDeadline)
         fetch(now);
     if (!hasMajority && now >= m_nextHeadRead) {
         m_nextHeadRead = now + jitter(m_options.headReadEvery, m_random);
@@ -98,24 +98,25 @@
     return std::exchange(m_actions, {});
 }
 
-/// By rank among the live members of the data centre: no lock, and views that disagree cost a watch too
-/// many or, for seconds, one too few, while the other data centres' watchers tell the news.
+/// Chooses watchers by rank among the live members of the data centre, without a lock. If views differ, there
+/// is one watch too many or, for seconds, one too few; the watchers of other data centres then report
+/// changes.
 bool config_spread::ranksAsWatcher() const
 {
     const std::uint64_t own = watcherRank(m_self.id);
-    const auto above = std::ranges::count_if(m_peers, [&](const spread_peer& peer) {
+    const auto higherRanked = std::ranges::count_if(m_peers, [&](const spread_peer& peer) {
         return peer.dataCentre == m_self.dataCentre && watcherRank(peer.id) > own;
     });
-    return above < static_cast<std::ptrdiff_t>(m_options.watchersPerDataCentre);
+    return higherRanked < static_cast<std::ptrdiff_t>(m_options.watchersPerDataCentre);
 }
 
 void config_spread::updateWatch()
 {
-    const bool watches = ranksAsWatcher();
-    if (watches == m_isWatcher)
+    const bool shouldWatch = ranksAsWatcher();
+    if (shouldWatch == m_isWatcher)
         return;
-    m_isWatcher = watches;
-    if (watches)
+    m_isWatcher = shouldWatch;
+    if (shouldWatch)
         m_actions.emplace_back(watch_head {});
     else
         m_actions.emplace_back(unwatch_head {});
@@ -123,29 +124,29 @@
 
 void config_spread::fetch(utils::time_point now)
 {
-    m_fetchUntil = now + m_options.fetchTime;
+    m_fetchDeadline = now + m_options.fetchTime;
     if (!m_holders.empty()) {
         auto holder = m_holders.begin();
         std::advance(holder, static_cast<std::ptrdiff_t>(m_random() % m_holders.size()));
         m_actions.emplace_back(fetch_from_peer { *holder, m_known });
-        m_holders.erase(holder); // another is asked should this one not deliver in time
+        m_holders.erase(holder); // after a timeout another holder is tried
         return;
     }
-    if (m_knowsFromHead || now >= m_platformAt) {
+    if (m_isKnownFromHead || now >= m_nextPlatformRead) {
         m_actions.emplace_back(read_document { m_known });
-        m_platformAt = now + jitter(m_options.platformAfter, m_random);
+        m_nextPlatformRead = now + jitter(m_options.platformAfter, m_random);
     }
 }
 
-void config_spread::know(utils::config_revision revision, utils::time_point now)
+void config_spread::learnRevision(utils::config_revision revision, utils::time_point now)
 {
     if (revision <= m_known)
         return;
     m_known = revision;
     m_holders.clear();
-    m_knowsFromHead = false;
-    m_fetchUntil = now;
-    m_platformAt = now + jitter(m_options.platformAfter, m_random);
+    m_isKnownFromHead = false;
+    m_fetchDeadline = now;
+    m_nextPlatformRead = now + jitter(m_options.platformAfter, m_random);
 }
 
 } // namespace fleet
--- a/src/libs/fleet/currency.cpp
+++ b/src/libs/fleet/currency.cpp
@@ -16,7 +16,7 @@
     "behind_configuration",
 };
 
-/// A list that flaps must not let the history grow; the oldest go first.
+/// Bounds the history if the VM list flaps; the oldest lists are dropped first.
 constexpr std::size_t maxLists = 8;
 
 } // namespace
@@ -41,7 +41,7 @@
         return;
     if (!m_lists.empty())
         m_lists.back().replacedAt = now;
-    std::erase_if(m_lists, [&](const counted_list& old) { return !counts(old, now); });
+    std::erase_if(m_lists, [&](const counted_list& old) { return !isCounted(old, now); });
     if (m_lists.size() >= maxLists)
         m_lists.erase(m_lists.begin());
     m_lists.push_back({ std::move(witnesses), utils::time_point::max() });
@@ -101,11 +101,11 @@
     }
     result.heard.insert(std::ranges::lower_bound(result.heard, m_self), m_self);
     for (const counted_list& list : m_lists) {
-        if (!counts(list, now))
+        if (!isCounted(list, now))
             continue;
-        witness_set staying = list.witnesses;
-        std::erase_if(staying, [&](wire::node_tag node) { return m_left.contains(node); });
-        result.lists.push_back(std::move(staying));
+        witness_set remaining = list.witnesses;
+        std::erase_if(remaining, [&](wire::node_tag node) { return m_left.contains(node); });
+        result.lists.push_back(std::move(remaining));
     }
     return result;
 }
@@ -118,8 +118,8 @@
         return currency_reason::BehindConfiguration;
     if (hasMajority(now))
         return currency_reason::Majority;
-    const bool hasRead = m_headReadAt != utils::time_point::min() && now - m_headReadAt <= m_window;
-    return hasRead ? currency_reason::HeadRead : currency_reason::NoMajority;
+    const bool isHeadReadFresh = m_headReadAt != utils::time_point::min() && now - m_headReadAt <= m_window;
+    return isHeadReadFresh ? currency_reason::HeadRead : currency_reason::NoMajority;
 }
 
 bool currency::hasMajority(utils::time_point now) const
@@ -127,8 +127,8 @@
     if (!m_options.usesMajority)
         return !m_lists.empty();
     return !m_lists.empty() && std::ranges::all_of(m_lists, [&](const counted_list& list) {
-        const tally t = count(list, now);
-        return !counts(list, now) || t.of == 0 || 2 * t.heard > t.of;
+        const witness_count t = count(list, now);
+        return !isCounted(list, now) || t.total == 0 || 2 * t.heard > t.total;
     });
 }
 
@@ -136,7 +136,7 @@
 {
     std::set<wire::node_tag> all;
     for (const counted_list& list : m_lists) {
-        if (counts(list, now))
+        if (isCounted(list, now))
             all.insert(list.witnesses.begin(), list.witnesses.end());
     }
     return all;
@@ -155,7 +155,7 @@
     return list;
 }
 
-bool currency::counts(const counted_list& list, utils::time_point now) const
+bool currency::isCounted(const counted_list& list, utils::time_point now) const
 {
     if (list.replacedAt == utils::time_point::max())
         return true;
@@ -170,13 +170,13 @@
     return heard != m_heard.end() && now - heard->second <= m_window;
 }
 
-currency::tally currency::count(const counted_list& list, utils::time_point now) const
+currency::witness_count currency::count(const counted_list& list, utils::time_point now) const
 {
-    tally t;
+    witness_count t;
     for (const wire::node_tag node : list.witnesses) {
         if (m_left.contains(node))
             continue;
-        ++t.of;
+        ++t.total;
         t.heard += isFresh(node, now) ? 1 : 0;
     }
     return t;
--- a/src/libs/fleet/digeststore.cpp
+++ b/src/libs/fleet/digeststore.cpp
@@ -49,26 +49,27 @@
 
 std::vector<wire::digest_entry> digest_store::take(std::size_t bytes, utils::time_point now)
 {
-    dropOld(now);
+    dropExpired(now);
     std::vector<std::pair<const fact_key*, fact*>> order;
     order.reserve(m_facts.size());
     for (auto& [key, known] : m_facts)
         order.emplace_back(&key, &known);
     constexpr std::size_t smallestEntry = 12;
     const auto wanted = std::min(order.size(), bytes / smallestEntry);
-    const auto middle = order.begin() + static_cast<std::ptrdiff_t>(wanted);
-    std::ranges::partial_sort(order, middle, {}, [](const auto& item) { return item.second->sentTurn; });
+    const auto selectedEnd = order.begin() + static_cast<std::ptrdiff_t>(wanted);
+    std::ranges::partial_sort(
+        order, selectedEnd, {}, [](const auto& item) { return item.second->lastSentTurn; });
     ++m_turn;
     std::vector<wire::digest_entry> taken;
-    for (auto item = order.begin(); item != middle; ++item) {
+    for (auto item = order.begin(); item != selectedEnd; ++item) {
         const auto& [kind, origin, key] = *item->first;
         fact& known = *item->second;
-        wire::digest_entry entry { kind, origin, { known.version }, ageInSeconds(now - known.bornAt), key,
-            known.value };
+        wire::digest_entry entry { kind, origin, { known.version }, ageInSeconds(now - known.publishedAt),
+            key, known.value };
         if (entry.size() > bytes)
             break;
         bytes -= entry.size();
-        known.sentTurn = m_turn;
+        known.lastSentTurn = m_turn;
         taken.push_back(std::move(entry));
     }
     return taken;
@@ -78,16 +79,16 @@
 {
     std::vector<digest_fact> list;
     for (const auto& [key, known] : m_facts) {
-        const utils::duration age = now - known.bornAt;
+        const utils::duration age = now - known.publishedAt;
         if (std::get<0>(key) == kind && age <= m_lifetime)
             list.push_back({ std::get<1>(key), std::get<2>(key), known.value, age });
     }
     return list;
 }
 
-void digest_store::dropOld(utils::time_point now)
+void digest_store::dropExpired(utils::time_point now)
 {
-    std::erase_if(m_facts, [&](const auto& entry) { return now - entry.second.bornAt > m_lifetime; });
+    std::erase_if(m_facts, [&](const auto& entry) { return now - entry.second.publishedAt > m_lifetime; });
 }
 
 } // namespace fleet
--- a/src/libs/fleet/digeststore.h
+++ b/src/libs/fleet/digeststore.h
@@ -11,34 +11,34 @@
 
 namespace fleet {
 
-/// One fact of a node, as the daemon reads it.
+/// A fact published by a node.
 struct digest_fact {
     wire::node_tag origin = 0;
     std::string key;
     std::string value;
-    utils::duration age {}; ///< since the origin published it, without the network's delay
+    utils::duration age {}; ///< time since publication by the origin, excluding network delay
 };
 
-/// Small facts that ride on the probes: load sums, home loads, strikes, usage. Per (kind, origin, key) the
-/// newest version wins. Each datagram carries a bounded number of bytes: those sent least often first, so
-/// that new ones go first and all others in turn. A fact that its origin does not renew within `lifetime`
-/// is dropped everywhere; its age travels with it, so that it cannot live on by going round.
+/// Small facts piggybacked on probes: load sums, home loads, strikes, usage. The newest version of each
+/// (kind, origin, key) wins. Each datagram carries a bounded number of bytes; the least recently sent facts
+/// are chosen, so new facts go first and the others take turns. A fact that its origin does not renew within
+/// `lifetime` expires on every node: its age is sent with it, so that passing it on does not renew it.
 /// Not thread safe.
 class digest_store {
 public:
-    /// `firstVersion` must be above those of the node's earlier processes.
+    /// Precondition: `firstVersion` is above all versions used by earlier processes of the node.
     digest_store(wire::node_tag self, std::uint64_t firstVersion, utils::duration lifetime);
 
     /// Publishes or renews a fact of this node. Precondition: key and value are at most 64 bytes each.
     void publish(
         wire::digest_kind kind, const std::string& key, const std::string& value, utils::time_point now);
-    /// Takes what came with a datagram.
+    /// Merges the entries received in a datagram.
     void merge(const std::vector<wire::digest_entry>& entries, utils::time_point now);
-    /// What the next datagram carries, within `bytes`.
+    /// Returns the entries for the next datagram, at most `bytes` in total.
     std::vector<wire::digest_entry> take(std::size_t bytes, utils::time_point now);
-    /// Every known fact of a kind, this node's included.
+    /// Returns all unexpired facts of a kind, including this node's.
     std::vector<digest_fact> facts(wire::digest_kind kind, utils::time_point now) const;
-    /// Facts known.
+    /// Returns the number of facts stored.
     std::size_t size() const { return m_facts.size(); }
 
     static constexpr std::size_t maxTextLength = 64;
@@ -48,11 +48,11 @@
     struct fact {
         std::uint64_t version = 0;
         std::string value;
-        utils::time_point bornAt;
-        std::uint64_t sentTurn = 0; ///< when it was last sent; 0: never
+        utils::time_point publishedAt;
+        std::uint64_t lastSentTurn = 0; ///< value of m_turn when last sent; 0 means never
     };
 
-    void dropOld(utils::time_point now);
+    void dropExpired(utils::time_point now);
 
     wire::node_tag m_self;
     std::uint64_t m_version;
--- a/src/libs/fleet/fleetnode.cpp
+++ b/src/libs/fleet/fleetnode.cpp
@@ -8,28 +8,28 @@
 
 namespace {
 
-constexpr std::size_t maxNameLength = 64; // so that a datagram always has room for its lists
-constexpr unsigned marginPeriods = 2; // nodes whose lists differ may differ in T by one
-constexpr utils::duration reviewEvery = std::chrono::milliseconds(200);
-constexpr utils::duration confirmEvery = std::chrono::milliseconds(100);
+constexpr std::size_t maxNameLength = 64; // leaves room for the lists in a datagram
+constexpr unsigned silenceMarginPeriods = 2; // T differs by up to one period between VM lists
+constexpr utils::duration reviewInterval = std::chrono::milliseconds(200);
+constexpr utils::duration confirmInterval = std::chrono::milliseconds(100);
 
-void checkName(const std::string& name)
+void validateName(const std::string& name)
 {
     if (name.empty() || name.size() > maxNameLength)
-        throw std::invalid_argument("a node's name, address and data centre have 1 to 64 characters");
+        throw std::invalid_argument("node name, address and data centre must each have 1 to 64 characters");
 }
 
-const fleet_settings& checked(const fleet_settings& settings)
+const fleet_settings& validated(const fleet_settings& settings)
 {
-    checkName(settings.id.str());
-    checkName(settings.address);
-    checkName(settings.dataCentre.str());
+    validateName(settings.id.str());
+    validateName(settings.address);
+    validateName(settings.dataCentre.str());
     return settings;
 }
 
 self_info selfOf(const fleet_settings& settings)
 {
-    // Seconds fit 32 bits and grow from start to start; refutations add one each, far more slowly.
+    // Seconds fit into 32 bits and increase with each start; each refutation adds one, which is much slower.
     constexpr std::uint64_t microsecondsPerSecond = 1'000'000;
     const auto incarnation = static_cast<std::uint32_t>(settings.bootId / microsecondsPerSecond);
     return { settings.id, settings.address, settings.dataCentre, std::max<std::uint32_t>(incarnation, 1) };
@@ -38,7 +38,7 @@
 } // namespace
 
 fleet_node::fleet_node(const fleet_settings& settings, const utils::state_chart& chart, std::uint64_t seed)
-    : m_settings(checked(settings))
+    : m_settings(validated(settings))
     , m_codec(wire::peer_keys(settings.currentKey, settings.previousKey), settings.id, settings.bootId)
     , m_membership(selfOf(settings), settings.membership, seed)
     , m_currency(settings.id, settings.currency)
@@ -51,14 +51,14 @@
 
 void fleet_node::setListed(const std::vector<listed_vm>& list, utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     m_membership.setListed(list, now);
     m_currency.setListed(list, now);
     m_isListedLeaving = std::ranges::any_of(
         list, [&](const listed_vm& vm) { return vm.id == m_settings.id && vm.isLeaving; });
     m_viewVersion = noVersion;
     updateViews(now);
-    finish(now);
+    finishEvent(now);
 }
 
 void fleet_node::onDatagram(std::string_view bytes, const std::string& from, utils::time_point now)
@@ -68,12 +68,12 @@
     const std::optional<wire::datagram> message = m_codec.decode(bytes);
     if (!message)
         return;
-    begin(now);
+    beginEvent(now);
     const std::optional<probe_answer> answer = m_membership.onMessage(*message, from, now);
     m_membership.noteRevision(message->sender, message->revisionInForce.value);
     m_spread.onPeer(message->sender, message->revisionKnown.value, message->revisionInForce.value, now);
     if (answer)
-        takeEvidence(*message, *answer);
+        recordEvidence(*message, *answer);
     m_digests.merge(message->digests, now);
     if (!message->handovers.empty()) {
         const member* sender = m_membership.members().find(message->sender);
@@ -81,22 +81,22 @@
         for (const wire::handover_item& item : message->handovers)
             m_handover.onItem(from, item, now);
     }
-    finish(now);
+    finishEvent(now);
 }
 
 void fleet_node::onTick(utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     m_membership.onTick(now);
     if (now >= m_nextReview) {
-        m_nextReview = now + reviewEvery;
+        m_nextReview = now + reviewInterval;
         updateViews(now);
         m_handover.onTick(now);
         m_spread.onTick(m_currency.hasMajority(now), now);
     }
     if (m_confirming != 0 && now >= m_nextConfirm)
         continueConfirming(now);
-    finish(now);
+    finishEvent(now);
 }
 
 utils::time_point fleet_node::nextTick() const
@@ -109,32 +109,32 @@
 
 void fleet_node::onHead(utils::config_revision revision, utils::time_point startedAt, utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     m_currency.onHeadRead(startedAt);
     m_spread.onHead(revision, now);
-    finish(now);
+    finishEvent(now);
 }
 
 void fleet_node::onDocumentInForce(utils::config_revision revision, utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     announceRevision(m_spread.onInForce(revision, now));
-    finish(now);
+    finishEvent(now);
 }
 
 void fleet_node::onFetchFailed(const utils::node_id& peer, utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     m_spread.onFetchFailed(peer, now);
-    finish(now);
+    finishEvent(now);
 }
 
 void fleet_node::confirm(utils::config_revision revision, utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     m_confirming = std::max(m_confirming, revision);
     continueConfirming(now);
-    finish(now);
+    finishEvent(now);
 }
 
 acknowledgement fleet_node::acknowledged(utils::config_revision revision, utils::time_point now) const
@@ -157,9 +157,9 @@
 
 void fleet_node::setServers(const std::vector<homed_server>& servers, utils::time_point now)
 {
-    begin(now);
+    beginEvent(now);
     m_handover.setServers(servers, now);
-    finish(now);
+    finishEvent(now);
 }
 
 void fleet_node::setInFlight(const utils::server_id& server, unsigned count, utils::time_point now)
@@ -177,11 +177,11 @@
 
 void fleet_node::leave(utils::time_point now)
 {
-    begin(now);
-    m_leaveBy = now + m_settings.leaveTime;
-    take("leave_requested");
+    beginEvent(now);
+    m_leaveDeadline = now + m_settings.leaveTime;
+    handleStateEvent("leave_requested");
     updateViews(now);
-    finish(now);
+    finishEvent(now);
 }
 
 double fleet_node::shareOf(const utils::server_id& server, utils::time_point now) const
@@ -199,15 +199,15 @@
     return std::exchange(m_actions, {});
 }
 
-/// Before anything that an event brings, the handover sees what the evidence has become: a share that
-/// ended during a pause must not look unbroken because the first datagram afterwards renews it.
-void fleet_node::begin(utils::time_point now)
+/// Updates the handover's evidence before an event is handled: a share that expired during a pause must not
+/// appear uninterrupted because the first datagram after the pause renews the evidence.
+void fleet_node::beginEvent(utils::time_point now)
 {
     m_handover.observe(m_currency.capEvidence(now), silence(), now);
     updateState(now);
 }
 
-void fleet_node::finish(utils::time_point now)
+void fleet_node::finishEvent(utils::time_point now)
 {
     m_currency.onRevisions(m_spread.known(), m_spread.inForce(), now);
     m_handover.observe(m_currency.capEvidence(now), silence(), now);
@@ -218,7 +218,7 @@
     encode(now);
 }
 
-void fleet_node::takeEvidence(const wire::datagram& message, const probe_answer& answer)
+void fleet_node::recordEvidence(const wire::datagram& message, const probe_answer& answer)
 {
     m_currency.onEvidence(wire::tagOf(answer.node), answer.askedAt);
     m_currency.onEvidence(wire::tagOf(message.sender), answer.askedAt);
@@ -228,8 +228,8 @@
         const member* m = m_membership.members().find(heard.node);
         if (m == nullptr)
             continue;
-        // Two nodes that cannot reach each other may both be reached by a third. Without this each takes the
-        // other for dead, waits for T, and both are home of the same server with a full share.
+        // A third node may reach two nodes that cannot reach each other. Without this, each of the two
+        // considers the other dead, waits for T, and both become home of the same server with a full share.
         if (m_settings.handover.heedsOthers)
             m_membership.noteHeard(m->id, answer.askedAt - age);
         const utils::config_revision known = message.revisionKnown.value;
@@ -275,17 +275,17 @@
     const bool isCurrent = m_currency.isCurrent(now);
     if (isCurrent != m_wasCurrent) {
         m_wasCurrent = isCurrent;
-        take(isCurrent ? "evidence_gained" : "evidence_lost");
+        handleStateEvent(isCurrent ? "evidence_gained" : "evidence_lost");
     }
-    if (now >= m_leaveBy)
-        take("leave_timeout");
-    else if (m_leaveBy != utils::time_point::max() && m_handover.isHandedOver())
-        take("handed_over");
+    if (now >= m_leaveDeadline)
+        handleStateEvent("leave_timeout");
+    else if (m_leaveDeadline != utils::time_point::max() && m_handover.isHandedOver())
+        handleStateEvent("handed_over");
 }
 
 void fleet_node::continueConfirming(utils::time_point now)
 {
-    m_nextConfirm = now + confirmEvery;
+    m_nextConfirm = now + confirmInterval;
     const std::set<wire::node_tag> witnesses = m_currency.witnesses(now);
     std::vector<utils::node_id> missingWitnesses;
     std::vector<utils::node_id> missing;
@@ -297,9 +297,9 @@
         m_confirming = 0;
         return;
     }
-    // Witnesses decide the answer "in force on a majority"; the others follow at a bounded rate.
-    constexpr unsigned witnessTurns = 2;
-    if (++m_confirmTurn % witnessTurns == 1) {
+    // Witnesses determine whether a majority has the revision; other nodes are probed at a bounded rate.
+    constexpr unsigned witnessProbeInterval = 2;
+    if (++m_confirmTurn % witnessProbeInterval == 1) {
         for (const utils::node_id& node : missingWitnesses)
             m_membership.probe(node, now);
     }
@@ -307,7 +307,7 @@
         m_membership.probe(missing[m_confirmTurn % missing.size()], now);
 }
 
-void fleet_node::take(std::string_view event)
+void fleet_node::handleStateEvent(std::string_view event)
 {
     const std::vector<std::string>& actions = m_position.take(event);
     if (actions.empty())
@@ -329,7 +329,7 @@
 
 utils::duration fleet_node::silence() const
 {
-    return m_currency.window() + marginPeriods * m_settings.membership.period;
+    return m_currency.window() + silenceMarginPeriods * m_settings.membership.period;
 }
 
 } // namespace fleet
--- a/src/libs/fleet/fleetnodeoutput.cpp
+++ b/src/libs/fleet/fleetnodeoutput.cpp
@@ -1,4 +1,4 @@
-// What a fleet node puts on its datagrams.
+// Part of fleet_node that fills and encodes outgoing datagrams.
 
 #include "fleetnode.h"
 
@@ -45,16 +45,16 @@
 void fleet_node::announceRevision(const std::vector<utils::node_id>& peers)
 {
     for (const utils::node_id& peer : peers) {
-        wire::datagram news;
-        news.kind = wire::datagram_kind::Announce;
-        m_membership.send(peer, std::move(news));
+        wire::datagram announcement;
+        announcement.kind = wire::datagram_kind::Announce;
+        m_membership.send(peer, std::move(announcement));
     }
 }
 
 void fleet_node::encode(utils::time_point now)
 {
     for (outgoing_message& out : m_membership.takeMessages()) {
-        decorate(out.message, now);
+        addPiggyback(out.message, now);
         std::string bytes = m_codec.encode(std::move(out.message), out.to);
         if (bytes.empty())
             continue;
@@ -64,23 +64,23 @@
     }
 }
 
-void fleet_node::decorate(wire::datagram& message, utils::time_point now)
+void fleet_node::addPiggyback(wire::datagram& message, utils::time_point now)
 {
     message.revisionInForce.value = m_spread.inForce();
     message.revisionKnown.value = m_spread.known();
     if (carriesEvidence(message.kind))
-        message.heard = evidenceFor(now);
+        message.heard = collectEvidence(now);
     const bool hasRoom = message.briefs.empty() && message.handovers.empty();
     if (hasRoom && message.kind != wire::datagram_kind::ProbeRequest)
         message.digests = m_digests.take(digestBytes, now);
 }
 
-std::vector<wire::evidence> fleet_node::evidenceFor(utils::time_point now) const
+std::vector<wire::evidence> fleet_node::collectEvidence(utils::time_point now) const
 {
     std::vector<wire::evidence> list;
     const wire::node_tag self = wire::tagOf(m_settings.id);
     for (const auto& [node, at] : m_currency.fresh(now)) {
-        if (list.size() == maxEvidence || node == self) // the answer itself is this node's own
+        if (list.size() == maxEvidence || node == self) // the answer itself is evidence of this node
             continue;
         const auto units
             = (std::chrono::ceil<std::chrono::milliseconds>(now - at).count() + wire::evidence::ageUnitMs - 1)
--- a/src/libs/fleet/homehandover.cpp
+++ b/src/libs/fleet/homehandover.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr unsigned zeroRepeats = 5; // at 5% loss all are lost once in three million handovers
+constexpr unsigned finalDrainRepeats = 5; // at 5% packet loss, all are lost in one of three million handovers
 
 } // namespace
 
@@ -19,15 +19,15 @@
 
 void home_handover::setServers(const std::vector<homed_server>& servers, utils::time_point now)
 {
-    std::set<utils::server_id> named;
+    std::set<utils::server_id> listed;
     for (const homed_server& server : servers) {
-        named.insert(server.id);
+        listed.insert(server.id);
         const auto [found, isNew] = m_entries.try_emplace(server.id);
         found->second.dataCentre = server.dataCentre;
         if (isNew)
             found->second.stateSince = now;
     }
-    std::erase_if(m_entries, [&](const auto& item) { return !named.contains(item.first); });
+    std::erase_if(m_entries, [&](const auto& item) { return !listed.contains(item.first); });
     for (auto& [server, e] : m_entries) {
         findHome(server, e, now);
         review(server, e, now);
@@ -36,10 +36,10 @@
 
 void home_handover::setView(handover_view view, utils::time_point now)
 {
-    const bool haveHomesMoved = view.homes.candidates() != m_view.homes.candidates();
+    const bool haveCandidatesChanged = view.homes.candidates() != m_view.homes.candidates();
     m_view = std::move(view);
     for (auto& [server, e] : m_entries) {
-        if (haveHomesMoved)
+        if (haveCandidatesChanged)
             findHome(server, e, now);
         review(server, e, now);
     }
@@ -54,12 +54,12 @@
     const bool hasLost = !std::ranges::includes(evidence.heard, m_evidence.heard);
     m_evidence = std::move(evidence);
     if (hasGained)
-        m_grownAt = now;
+        m_evidenceGainedAt = now;
     for (auto& [server, e] : m_entries) {
-        // The part of a lost witness has perhaps been taken by another home: it is gone until claimed anew.
+        // Another home may have taken the part of a lost witness, so it must be claimed again.
         if (hasLost)
             e.claimed = intersection(e.claimed, m_evidence.heard);
-        // So are answers from before the loss: who granted may have taken this node for dead since.
+        // Answers from before the loss are void: a node that granted may have considered this one dead since.
         if (hasLost)
             e.isRoundOpen = false;
         if (!m_options.claimsGrowth && e.state == home_state::Active)
@@ -72,12 +72,12 @@
     const utils::server_id server(item.server);
     const auto found = m_entries.find(server);
     if (found == m_entries.end()) {
-        // This node's configuration does not name the server: it cannot be admitting for it.
+        // The server is not in this node's configuration, so this node cannot be admitting requests for it.
         if (item.kind == wire::handover_kind::Claim)
-            reply(from.id, wire::handover_kind::Grant, server, item.round.value, 0);
+            queueItem(from.id, wire::handover_kind::Grant, server, item.round.value, 0);
         return;
     }
-    entry& e = found->second;
+    server_entry& e = found->second;
     if (item.kind == wire::handover_kind::Claim) {
         onClaim(from, server, e, item, now);
         return;
@@ -93,7 +93,7 @@
         return;
     if (item.kind == wire::handover_kind::Refuse) {
         e.isRoundOpen = false;
-        e.notBefore = now + m_options.retryRefusedAfter;
+        e.nextRoundAt = now + m_options.retryRefusedAfter;
         e.claimed.clear();
         setState(e, home_state::Claiming, now);
         return;
@@ -109,17 +109,17 @@
     if (found == m_entries.end() || found->second.inFlight == count)
         return;
     found->second.inFlight = count;
-    tellHeirs(server, found->second, now);
+    notifySuccessors(server, found->second, now);
 }
 
 void home_handover::onTick(utils::time_point now)
 {
     for (auto& [server, e] : m_entries) {
         review(server, e, now);
-        if (!e.heirs.empty() && now - e.drainToldAt >= m_options.repeatEvery)
-            tellHeirs(server, e, now);
+        if (!e.successors.empty() && now - e.drainSentAt >= m_options.repeatEvery)
+            notifySuccessors(server, e, now);
         std::erase_if(e.inherited,
-            [&](const auto& item) { return item.second > 0 && maySettleBySilence(item.first, now); });
+            [&](const auto& item) { return item.second > 0 && hasExpiredBySilence(item.first, now); });
     }
 }
 
@@ -171,7 +171,7 @@
     });
 }
 
-void home_handover::findHome(const utils::server_id& server, entry& e, utils::time_point now) const
+void home_handover::findHome(const utils::server_id& server, server_entry& e, utils::time_point now) const
 {
     const bool wasHome = e.isHome;
     e.isHome = m_view.homes.homeOf(server, e.dataCentre) == m_self.id;
@@ -179,10 +179,10 @@
         e.homeLostAt = now;
 }
 
-/// Whether that node cannot be admitting any more although it does not answer. It is taken for dead, and T
-/// has passed since it fell silent: its share has ended. After this node's own share grew, T must pass
-/// again: the cut or pause that ended may have hidden a node that is at work.
-bool home_handover::maySettleBySilence(const utils::node_id& node, utils::time_point now) const
+/// Returns whether a node that does not answer can no longer be admitting requests: it is considered dead,
+/// and T has passed since it became silent, so its share has expired. After this node's evidence grew, T must
+/// pass again: the network partition or pause that ended may have hidden a running node.
+bool home_handover::hasExpiredBySilence(const utils::node_id& node, utils::time_point now) const
 {
     const auto former = std::ranges::find_if(
         m_view.formers, [&](const former_candidate& item) { return item.node.id == node; });
@@ -191,10 +191,10 @@
             m_view.homes.candidates(), [&](const home_candidate& candidate) { return candidate.id == node; });
     if (former->isLive)
         return false;
-    return now - std::max(former->silentSince, m_grownAt) >= m_silence;
+    return now - std::max(former->silentSince, m_evidenceGainedAt) >= m_silence;
 }
 
-void home_handover::openRound(const utils::server_id& server, entry& e, utils::time_point now)
+void home_handover::openRound(const utils::server_id& server, server_entry& e, utils::time_point now)
 {
     e.isRoundOpen = true;
     e.round = ++m_round;
@@ -204,17 +204,17 @@
     tryActivate(e, now);
 }
 
-void home_handover::review(const utils::server_id& server, entry& e, utils::time_point now)
+void home_handover::review(const utils::server_id& server, server_entry& e, utils::time_point now)
 {
     if (!e.isHome) {
         reviewNotHome(e, now);
         return;
     }
-    if (e.state == home_state::Idle && now >= e.notBefore)
+    if (e.state == home_state::Idle && now >= e.nextRoundAt)
         setState(e, home_state::Claiming, now);
-    const bool wantsMore
+    const bool needsClaim
         = e.state == home_state::Claiming || (e.state == home_state::Active && e.claimed != m_evidence.heard);
-    if (wantsMore && !e.isRoundOpen && !m_evidence.lists.empty() && now >= e.notBefore)
+    if (needsClaim && !e.isRoundOpen && !m_evidence.lists.empty() && now >= e.nextRoundAt)
         openRound(server, e, now);
     if (e.isRoundOpen) {
         ask(server, e, now);
@@ -222,22 +222,22 @@
     }
 }
 
-/// An active home that is none in its own view goes on until the new one claims: no gap. One that nobody
-/// asks has been overlooked, and stops by itself before its part is given to another.
-void home_handover::reviewNotHome(entry& e, utils::time_point now)
+/// An active node that is no longer home in its own view continues until the new home claims the server, so
+/// that there is no gap. If no claim arrives, it stops on its own before its part is given to another node.
+void home_handover::reviewNotHome(server_entry& e, utils::time_point now)
 {
-    const bool isOverlooked = now - e.homeLostAt >= m_silence;
-    const bool isAlone = m_view.homes.candidates().empty();
-    if (e.state == home_state::Active && !isOverlooked && !isAlone)
+    const bool isClaimOverdue = now - e.homeLostAt >= m_silence;
+    const bool hasNoCandidates = m_view.homes.candidates().empty();
+    if (e.state == home_state::Active && !isClaimOverdue && !hasNoCandidates)
         return;
     e.isRoundOpen = false;
     e.claimed.clear();
     setState(e, home_state::Idle, now);
 }
 
-/// The first-ranked of the live, of the others, and of those that arrived since the last claim, since these
-/// are the homes in views that differ.
-void home_handover::addAsked(const utils::server_id& server, entry& e) const
+/// Adds the top-ranked live nodes, former candidates, and nodes that became live since the last round: these
+/// are the possible homes in differing views.
+void home_handover::addNodesToAsk(const utils::server_id& server, server_entry& e) const
 {
     if (!m_options.claims)
         return;
@@ -246,11 +246,11 @@
         formers.push_back(former.node);
     std::vector<home_candidate> arrived;
     for (const arrival& item : m_view.arrivals) {
-        if (item.at >= e.settledAt)
+        if (item.at >= e.lastRoundEndedAt)
             arrived.push_back(item.node);
     }
-    const bool isSmall = m_view.homes.candidates().size() + formers.size() <= m_options.askAllUpTo;
-    const std::size_t count = isSmall ? m_options.askAllUpTo : m_options.asked + 1; // this node is among them
+    const bool isSmallFleet = m_view.homes.candidates().size() + formers.size() <= m_options.askAllUpTo;
+    const std::size_t count = isSmallFleet ? m_options.askAllUpTo : m_options.asked + 1; // with this node
     for (const auto* list :
         { &m_view.homes.candidates(), &std::as_const(formers), &std::as_const(arrived) }) {
         for (const utils::node_id& node : home_map::ranking(*list, server, e.dataCentre, count)) {
@@ -260,19 +260,19 @@
     }
 }
 
-void home_handover::ask(const utils::server_id& server, entry& e, utils::time_point now)
+void home_handover::ask(const utils::server_id& server, server_entry& e, utils::time_point now)
 {
-    addAsked(server, e);
+    addNodesToAsk(server, e);
     for (auto& [node, asked] : e.asked) {
         const bool wasAsked = asked.askedAt != utils::time_point::min();
         if (asked.hasAnswered || (wasAsked && now - asked.askedAt < m_options.repeatEvery))
             continue;
         asked.askedAt = now;
-        reply(node, wire::handover_kind::Claim, server, e.round, 0);
+        queueItem(node, wire::handover_kind::Claim, server, e.round, 0);
     }
 }
 
-void home_handover::tryActivate(entry& e, utils::time_point now)
+void home_handover::tryActivate(server_entry& e, utils::time_point now)
 {
     if (!e.isRoundOpen)
         return;
@@ -280,12 +280,12 @@
     for (const auto& [node, asked] : e.asked) {
         if (asked.hasAnswered)
             continue;
-        if (!maySettleBySilence(node, now))
+        if (!hasExpiredBySilence(node, now))
             return;
         bySilence = true;
     }
     e.isRoundOpen = false;
-    e.settledAt = now;
+    e.lastRoundEndedAt = now;
     e.claimed = m_evidence.heard;
     if (bySilence || e.state == home_state::Claiming)
         e.reportUntil = now + m_silence;
@@ -293,46 +293,46 @@
         setState(e, home_state::Active, now);
 }
 
-void home_handover::setState(entry& e, home_state state, utils::time_point now)
+void home_handover::setState(server_entry& e, home_state state, utils::time_point now)
 {
     if (e.state != state)
         e.stateSince = now;
     e.state = state;
 }
 
-void home_handover::onClaim(const home_candidate& from, const utils::server_id& server, entry& e,
+void home_handover::onClaim(const home_candidate& from, const utils::server_id& server, server_entry& e,
     const wire::handover_item& item, utils::time_point now)
 {
-    const bool keeps = e.isHome && home_map::ranksAbove(m_self, from, server, e.dataCentre);
-    if (keeps) {
-        reply(from.id, wire::handover_kind::Refuse, server, item.round.value, 0);
+    const bool keepsHome = e.isHome && home_map::ranksAbove(m_self, from, server, e.dataCentre);
+    if (keepsHome) {
+        queueItem(from.id, wire::handover_kind::Refuse, server, item.round.value, 0);
         return;
     }
     e.isRoundOpen = false;
     e.claimed.clear();
-    e.notBefore = now + m_options.retryRefusedAfter;
+    e.nextRoundAt = now + m_options.retryRefusedAfter;
     setState(e, home_state::Idle, now);
     const unsigned running = e.inFlight + inherited(server);
     if (running > 0)
-        e.heirs[from.id] = zeroRepeats;
-    reply(from.id, wire::handover_kind::Grant, server, item.round.value, running);
+        e.successors[from.id] = finalDrainRepeats;
+    queueItem(from.id, wire::handover_kind::Grant, server, item.round.value, running);
 }
 
-/// Repeats the last zero a few times: a lost one would keep a slot of the server unused for good.
-void home_handover::tellHeirs(const utils::server_id& server, entry& e, utils::time_point now)
+/// Repeats a count of zero a few times: if it were lost, a slot of the server would stay unused forever.
+void home_handover::notifySuccessors(const utils::server_id& server, server_entry& e, utils::time_point now)
 {
-    if (e.heirs.empty())
+    if (e.successors.empty())
         return;
-    e.drainToldAt = now;
-    for (auto& [heir, zerosLeft] : e.heirs) {
-        reply(heir, wire::handover_kind::Drain, server, 0, e.inFlight);
-        zerosLeft = e.inFlight == 0 ? zerosLeft - 1 : zeroRepeats;
+    e.drainSentAt = now;
+    for (auto& [successor, repeatsLeft] : e.successors) {
+        queueItem(successor, wire::handover_kind::Drain, server, 0, e.inFlight);
+        repeatsLeft = e.inFlight == 0 ? repeatsLeft - 1 : finalDrainRepeats;
     }
-    std::erase_if(e.heirs, [](const auto& item) { return item.second == 0; });
+    std::erase_if(e.successors, [](const auto& item) { return item.second == 0; });
 }
 
-void home_handover::reply(const utils::node_id& to, wire::handover_kind kind, const utils::server_id& server,
-    std::uint64_t round, unsigned inFlight)
+void home_handover::queueItem(const utils::node_id& to, wire::handover_kind kind,
+    const utils::server_id& server, std::uint64_t round, unsigned inFlight)
 {
     m_items.push_back({ to, { kind, server.str(), { round }, { inFlight } } });
 }
--- a/src/libs/fleet/homemap.cpp
+++ b/src/libs/fleet/homemap.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Keeps a server and a team of the same name apart.
+/// Different seeds give a server and a team of the same name different hashes.
 constexpr std::uint64_t serverSeed = 1;
 constexpr std::uint64_t teamSeed = 2;
 
@@ -21,8 +21,8 @@
     return utils::hash64(node.str());
 }
 
-/// Weight of a node for an item: a finalizer that spreads every bit, at a fifth of the time of a hash of
-/// bytes; 600 servers at 400 nodes make it 60,000 times per change of the members.
+/// Returns the weight of a node for an item. Uses an integer finalizer that mixes all bits in a fifth of the
+/// time of a byte hash; with 600 servers and 400 nodes it runs 60,000 times per membership change.
 std::uint64_t weightOf(std::uint64_t nodeHash, std::uint64_t itemHash)
 {
     constexpr std::uint64_t firstFactor = 0xbf58476d1ce4e5b9ULL;
@@ -33,7 +33,7 @@
     return x ^ (x >> 31U);
 }
 
-/// Larger comes first; the name breaks the tie of equal hashes.
+/// The larger key ranks first; the name breaks ties between equal hashes.
 using rank_key = std::tuple<bool, std::uint64_t, std::string_view>;
 
 rank_key keyOf(const home_candidate& candidate, std::uint64_t nodeHash, std::uint64_t serverHash,
@@ -59,8 +59,9 @@
 {
     if (m_candidates.empty())
         return {};
-    const auto near = m_byDataCentre.find(dataCentre);
-    return best(near == m_byDataCentre.end() ? m_all : near->second, utils::hash64(server.str(), serverSeed));
+    const auto local = m_byDataCentre.find(dataCentre);
+    return best(
+        local == m_byDataCentre.end() ? m_all : local->second, utils::hash64(server.str(), serverSeed));
 }
 
 std::optional<utils::node_id> home_map::homeOf(const utils::team_id& team) const
--- a/src/libs/fleet/homemap.h
+++ b/src/libs/fleet/homemap.h
@@ -11,7 +11,7 @@
 
 namespace fleet {
 
-/// A node that may be a home.
+/// A node that can be a home.
 struct home_candidate {
     utils::node_id id;
     utils::data_centre_id dataCentre;
@@ -19,24 +19,27 @@
     bool operator==(const home_candidate&) const = default;
 };
 
-/// Which node is the home of a backend server or of a calling team: rendezvous hashing over the live
-/// members, so that a node that joins or leaves moves only its own share, and nodes with the same view
-/// agree without a message. A server's home is in the server's data centre while a node there lives, so
-/// that its streams cross between data centres once. Immutable, so it may be shared between threads.
+/// Assigns a home node to each backend server and calling team by rendezvous hashing over the live members:
+/// a node that joins or leaves moves only its own share, and nodes with the same view agree without
+/// messages. A server's home is in the server's data centre while a live node exists there, so that its
+/// streams cross between data centres only once. Immutable, so it can be shared between threads.
 class home_map {
 public:
     home_map() = default;
     explicit home_map(std::vector<home_candidate> candidates);
 
-    /// The home, or nothing when nobody lives. Thread safe.
+    /// Returns the home of a server, or nothing if there are no candidates. Thread safe.
     std::optional<utils::node_id> homeOf(
         const utils::server_id& server, const utils::data_centre_id& dataCentre) const;
-    /// The home of a calling team's limits, over the whole region. Thread safe.
+    /// Returns the home of a calling team's limits, chosen from the whole region, or nothing if there are no
+    /// candidates. Thread safe.
     std::optional<utils::node_id> homeOf(const utils::team_id& team) const;
-    /// The first `count` of `candidates` in the order in which they would be the server's home. Thread safe.
+    /// Returns the first `count` of `candidates` in the order of preference as the server's home. Thread
+    /// safe.
     static std::vector<utils::node_id> ranking(std::span<const home_candidate> candidates,
         const utils::server_id& server, const utils::data_centre_id& dataCentre, std::size_t count);
-    /// Whether `first` comes before `second` for that server in every view. Thread safe.
+    /// Returns whether `first` is preferred to `second` as the server's home; this is the same in every view.
+    /// Thread safe.
     static bool ranksAbove(const home_candidate& first, const home_candidate& second,
         const utils::server_id& server, const utils::data_centre_id& dataCentre);
 
--- a/src/libs/fleet/member.h
+++ b/src/libs/fleet/member.h
@@ -12,17 +12,17 @@
 
 using wire::member_state;
 
-/// One row of the platform's lagging list of VMs, of this node's region.
+/// An entry of the platform's list of VMs in this node's region. The list lags behind the actual state.
 struct listed_vm {
     utils::node_id id;
-    std::string address; ///< "ip:port" of its datagram socket
+    std::string address; ///< "ip:port" of the VM's datagram socket
     utils::data_centre_id dataCentre;
     bool isLeaving = false;
 
     bool operator==(const listed_vm&) const = default;
 };
 
-/// What this node knows of another.
+/// What this node knows about another node.
 struct member {
     utils::node_id id;
     wire::node_tag tag = 0;
@@ -31,27 +31,28 @@
     member_state state = member_state::Listed;
     std::uint32_t incarnation = 0;
     utils::time_point stateSince;
-    utils::time_point silentSince; ///< when it was first suspected, or listed without being heard
-    utils::time_point liveSince; ///< when it last came (back) to work
+    utils::time_point silentSince; ///< when first suspected, or listed without having been heard
+    utils::time_point liveSince; ///< when it last became live
     bool isListed = false;
     bool isListedLeaving = false;
-    bool wasHeard = false; ///< a datagram of its own has arrived here
+    bool wasHeard = false; ///< a datagram sent by the member itself was received
     utils::config_revision revisionInForce = 0;
 
-    /// Whether it may be at work: suspects are, until they are dead. Thread safe.
+    /// Returns whether the member may be running; a suspect counts as live until it is declared dead. Thread
+    /// safe.
     bool isLive() const
     {
         return state == member_state::Alive || state == member_state::Leaving
             || state == member_state::Suspect;
     }
-    /// Whether it may be the home of anything. Thread safe.
+    /// Returns whether the member can be a home. Thread safe.
     bool mayBeHome() const
     {
         return (state == member_state::Alive || state == member_state::Suspect) && !isListedLeaving;
     }
 };
 
-/// Name for status pages, e.g. "suspect". Precondition: state is not Count_. Thread safe.
+/// Returns the name for status pages, such as "suspect". Precondition: state is not Count_. Thread safe.
 std::string_view toString(member_state state);
 
 } // namespace fleet
--- a/src/libs/fleet/membership.cpp
+++ b/src/libs/fleet/membership.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr std::size_t updateBytes = 240; // six joins, or a dozen of other changes
-constexpr std::size_t briefsInAnswer = 50; // 450 bytes, beside the other lists
-constexpr unsigned maxSyncRounds = 12; // a whole fleet that starts at once learns itself by doubling
+constexpr std::size_t updateBytes = 240; // fits six joins or a dozen other changes
+constexpr std::size_t briefsInAnswer = 50; // 450 bytes, in addition to the other lists
+constexpr unsigned maxSyncRounds = 12; // in a fleet that starts at once, known members double each round
 
-/// Whether a node that is at work must object to that.
-bool needsRefuting(member_state believed)
+/// Returns whether a running node must refute this state.
+bool needsRefutation(member_state believed)
 {
     return believed == member_state::Suspect || believed == member_state::Dead
         || believed == member_state::Left;
@@ -39,7 +39,7 @@
     if (!m_hasStarted) {
         m_hasStarted = true;
         m_lastTick = now;
-        // Spread over a period, so that nodes that start together do not probe in step.
+        // A random delay of up to one period prevents nodes that start together from probing in step.
         m_nextRound
             = now + utils::duration(m_random() % static_cast<std::uint64_t>(m_options.period.count()));
     }
@@ -48,7 +48,7 @@
 std::optional<probe_answer> membership::onMessage(
     const wire::datagram& message, const std::string& from, utils::time_point now)
 {
-    applyNews(message, from, now);
+    applyPiggyback(message, from, now);
     switch (message.kind) {
     case wire::datagram_kind::Ping:
         onPing(message, from);
@@ -72,7 +72,7 @@
     if (!m_hasStarted || m_selfState == member_state::Left)
         return;
     if (wasPaused(now) && m_options.forgivesPause)
-        forgivePause(now);
+        resetAfterPause(now);
     m_lastTick = now;
     expireProbes(now);
     expireSuspicions(now);
@@ -111,9 +111,9 @@
     m_selfState = state;
     ++m_self.incarnation;
     m_updates.add(selfUpdate());
-    // One datagram to a few at once, since this node may be gone before its next probes.
-    constexpr std::size_t toldAtOnce = 6;
-    for (const utils::node_id& node : randomMembers(toldAtOnce)) {
+    // Sent to a few nodes immediately, since this node may stop before its next probes.
+    constexpr std::size_t announceFanout = 6;
+    for (const utils::node_id& node : randomMembers(announceFanout)) {
         wire::datagram message;
         message.kind = wire::datagram_kind::Announce;
         send(node, std::move(message));
@@ -153,9 +153,10 @@
     return now - m_lastTick > 2 * m_options.period;
 }
 
-/// Without it a node that was stopped for seconds finds all its probes unanswered and all suspicions
-/// overdue, and declares healthy nodes dead that were never given the time to answer.
-void membership::forgivePause(utils::time_point now)
+/// Restarts probes and suspicion timeouts after a pause. Otherwise a node that was stopped for seconds would
+/// find its probes unanswered and its suspicions expired, and declare healthy nodes dead without giving them
+/// time to answer.
+void membership::resetAfterPause(utils::time_point now)
 {
     m_probes.clear();
     std::vector<utils::node_id> suspects;
@@ -168,7 +169,7 @@
     m_nextRound = now;
 }
 
-void membership::applyNews(const wire::datagram& message, const std::string& from, utils::time_point now)
+void membership::applyPiggyback(const wire::datagram& message, const std::string& from, utils::time_point now)
 {
     for (const wire::member_update& update : message.updates)
         applyUpdate(update, now);
@@ -191,23 +192,23 @@
         return;
     }
     const member* before = m_members.find(update.id);
-    const bool isFirstNews = before == nullptr || before->state == member_state::Listed;
+    const bool isFirstUpdate = before == nullptr || before->state == member_state::Listed;
     const bool isListed = before != nullptr && before->isListed;
     if (!m_members.apply(update, now))
         return;
-    wire::member_update news = update;
+    wire::member_update forwarded = update;
     const member* m = m_members.find(update.id);
-    // Whoever has the list has the address, and finds out by its own probes that the node is there; when
-    // a whole fleet starts at once, hundreds of such updates would crowd out all others for minutes.
-    const bool needsAddress = isFirstNews && !isListed;
-    news.address = needsAddress ? m->address : std::string();
-    news.dataCentre = needsAddress ? m->dataCentre.str() : std::string();
-    m_updates.add(std::move(news), isFirstNews && isListed);
+    // Nodes that have the VM list know the address and detect the new node with their own probes. When a
+    // whole fleet starts at once, hundreds of such updates would displace all others for minutes.
+    const bool needsAddress = isFirstUpdate && !isListed;
+    forwarded.address = needsAddress ? m->address : std::string();
+    forwarded.dataCentre = needsAddress ? m->dataCentre.str() : std::string();
+    m_updates.add(std::move(forwarded), isFirstUpdate && isListed);
 }
 
 void membership::refute(member_state believed, std::uint32_t incarnation)
 {
-    if (!needsRefuting(believed) || incarnation < m_self.incarnation || m_selfState == member_state::Left)
+    if (!needsRefutation(believed) || incarnation < m_self.incarnation || m_selfState == member_state::Left)
         return;
     m_self.incarnation = incarnation + 1;
     ++m_refutations;
@@ -275,7 +276,7 @@
     const member* receiver = m_members.find(to);
     if (receiver != nullptr) {
         message.believedState = receiver->state;
-        if (needsRefuting(receiver->state))
+        if (needsRefutation(receiver->state))
             message.believedIncarnation.value = receiver->incarnation;
     }
     const bool isKnownThere = receiver != nullptr && receiver->wasHeard;
--- a/src/libs/fleet/membership.h
+++ b/src/libs/fleet/membership.h
@@ -11,78 +11,82 @@
 
 namespace fleet {
 
-/// This node, as it presents itself to the others.
+/// Identity of this node as announced to other nodes.
 struct self_info {
     utils::node_id id;
     std::string address;
     utils::data_centre_id dataCentre;
-    std::uint32_t incarnation = 1; ///< above those of the node's earlier processes
+    std::uint32_t incarnation = 1; ///< above all incarnations of the node's earlier processes
 };
 
-/// Times of the failure detector. docs/design/membership.md gives the figures behind them.
+/// Parameters of the failure detector. docs/design/membership.md gives the figures behind them.
 struct membership_options {
-    utils::duration period = std::chrono::milliseconds(500); ///< one probe each
-    utils::duration answerTime = std::chrono::milliseconds(150); ///< then again, and through others
-    unsigned relays = 2; ///< nodes asked to probe in this node's place
-    unsigned suspicionRounds = 2; ///< plus log2 of the fleet: time to refute a suspicion
-    unsigned deadProbeRounds = 4; ///< every so many rounds a dead but listed node is tried
-    utils::duration forgetAfter = std::chrono::seconds(60);
-    bool usesRelays = true; ///< off in tests that prove what the relays are for
-    bool forgivesPause = true; ///< off in tests that prove what the check for a pause is for
+    utils::duration period = std::chrono::milliseconds(500); ///< one regular probe per period
+    utils::duration answerTime = std::chrono::milliseconds(
+        150); ///< timeout before the probe is repeated directly and through relays
+    unsigned relays = 2; ///< number of nodes asked to probe on behalf of this node
+    unsigned suspicionRounds = 2; ///< plus log2 of the fleet size: rounds for refuting a suspicion
+    unsigned deadProbeRounds = 4; ///< rounds between probes of a dead but listed node
+    utils::duration forgetAfter = std::chrono::seconds(60); ///< for dead or left nodes no longer listed
+    bool usesRelays = true; ///< disabled in tests that show why relays are needed
+    bool forgivesPause = true; ///< disabled in tests that show why pauses must be detected
 };
 
-/// A datagram on its way out.
+/// A datagram to send, not yet encoded.
 struct outgoing_message {
     utils::node_id to;
     std::string address;
     wire::datagram message;
 };
 
-/// A node answered a probe that left here at `askedAt`: it was at work at that time or later.
+/// The answer to a probe sent at `askedAt`: it proves that `node` was running at that time or later.
 struct probe_answer {
     utils::node_id node;
     utils::time_point askedAt;
 };
 
-/// Who is in the fleet: probes in the manner of SWIM (direct, then through others), suspicion before
-/// death, refutation by incarnation, graceful leave; changes ride on the probes. Answers the load of a
-/// fleet in which machines fail daily: each node's traffic is the same at every fleet size.
+/// Fleet membership based on SWIM: direct probes followed by probes through relays, suspicion before a node
+/// is declared dead, refutation by a higher incarnation, and graceful leave. Changes are piggybacked on the
+/// probes.
 ///
-/// Sans-IO: datagrams and the time go in, datagrams come out. Not thread safe.
+/// Load: a fleet in which VMs fail daily; the traffic of each node does not depend on the fleet size.
+///
+/// Sans-IO: takes datagrams and the current time, and returns datagrams to send. Not thread safe.
 class membership {
 public:
     membership(self_info self, membership_options options, std::uint64_t seed);
 
-    /// Takes the VM list of the region; this node's own row is ignored.
+    /// Sets the VM list of the region; the entry of this node is ignored.
     void setListed(const std::vector<listed_vm>& list, utils::time_point now);
-    /// Takes a datagram that passed authentication; the answered probe, if it answers one.
+    /// Handles an authenticated datagram. Returns the probe that it answers, if any.
     std::optional<probe_answer> onMessage(
         const wire::datagram& message, const std::string& from, utils::time_point now);
-    /// Does what is due. Precondition: called at nextTick() or soon after.
+    /// Sends probes and applies timeouts that are due. Precondition: called at nextTick() or soon after.
     void onTick(utils::time_point now);
-    /// When onTick is due next.
+    /// Returns when onTick() is due next.
     utils::time_point nextTick() const;
 
-    /// Probes a node at once, besides the regular ones.
+    /// Probes a node immediately, in addition to the regular probes.
     void probe(const utils::node_id& node, utils::time_point now);
-    /// Sends a datagram with the usual news on it.
+    /// Sends a datagram with pending membership updates piggybacked.
     void send(const utils::node_id& to, wire::datagram message);
-    /// Tells everyone that this node takes nothing new, or has left.
+    /// Announces to the fleet that this node is leaving or has left.
     void announce(member_state state);
-    /// The datagrams to send, once.
+    /// Returns the datagrams to send and clears them.
     std::vector<outgoing_message> takeMessages();
 
     const member_table& members() const { return m_members; }
     const self_info& self() const { return m_self; }
     member_state selfState() const { return m_selfState; }
     const membership_options& options() const { return m_options; }
-    /// Notes which revision a member has in force.
+    /// Records the revision that a member has in force.
     void noteRevision(const utils::node_id& node, utils::config_revision revision);
-    /// Someone reached a member at that time that this node takes for dead or has never heard.
+    /// Records that another node reached, at `at`, a member that is dead or not yet heard in this node's
+    /// view.
     void noteHeard(const utils::node_id& node, utils::time_point at);
-    /// Up to `count` different live members, at random.
+    /// Returns up to `count` distinct live members chosen at random.
     std::vector<utils::node_id> randomMembers(std::size_t count);
-    /// Times this node was suspected or declared dead and refuted it.
+    /// Returns how often this node refuted a suspicion or its own death.
     std::uint64_t refutations() const { return m_refutations; }
 
 private:
@@ -96,14 +100,14 @@
         std::uint64_t nonce = 0;
         utils::node_id target;
         utils::time_point askedAt;
-        bool detects = false; ///< no answer makes the target a suspect
+        bool detects = false; ///< without an answer the target becomes a suspect
         bool wasRepeated = false;
-        utils::node_id requester; ///< probes in its place; empty: for itself
+        utils::node_id requester; ///< node on whose behalf the probe is sent; empty for this node
         std::uint64_t requesterNonce = 0;
     };
 
     bool wasPaused(utils::time_point now) const;
-    void forgivePause(utils::time_point now);
+    void resetAfterPause(utils::time_point now);
     void startRound(utils::time_point now);
     void startProbe(pending_probe probe, bool wantsMembers, wire::node_tag cursor, utils::time_point now);
     void repeatProbe(pending_probe& probe);
@@ -112,7 +116,7 @@
     void expireSuspicions(utils::time_point now);
     void syncMembers(utils::time_point now);
     utils::node_id nextTarget();
-    void applyNews(const wire::datagram& message, const std::string& from, utils::time_point now);
+    void applyPiggyback(const wire::datagram& message, const std::string& from, utils::time_point now);
     void applyUpdate(const wire::member_update& update, utils::time_point now);
     void refute(member_state believed, std::uint32_t incarnation);
     void onPing(const wire::datagram& message, const std::string& from);
@@ -131,7 +135,7 @@
     update_queue m_updates;
     member_state m_selfState = member_state::Alive;
     std::vector<pending_probe> m_probes;
-    std::vector<utils::node_id> m_order; ///< targets of the coming rounds
+    std::vector<utils::node_id> m_order; ///< targets of the next rounds, in reverse order
     std::vector<outgoing_message> m_outgoing;
     utils::time_point m_nextRound;
     utils::time_point m_lastTick;
--- a/src/libs/fleet/membershipprobes.cpp
+++ b/src/libs/fleet/membershipprobes.cpp
@@ -1,4 +1,4 @@
-// The probing side of membership: whom to probe, and what an answer that does not come means.
+// Probing part of membership: chooses targets and handles probe timeouts.
 
 #include "membership.h"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::size_t syncedShare = 10; // done when less than a tenth of the list is unheard
+constexpr std::size_t syncDoneDivisor = 10; // ends when less than a tenth of the list is unheard
 constexpr unsigned relayedProbePeriods = 2;
 
 } // namespace
@@ -24,7 +24,7 @@
     if (m_syncRounds > 0)
         syncMembers(now);
     if (m_round % m_options.deadProbeRounds == 0) {
-        // A split that heals is noticed only by trying nodes that were given up.
+        // Probing dead nodes is the only way to detect that a network partition has healed.
         std::vector<utils::node_id> dead;
         for (const auto& [id, m] : m_members.all()) {
             if (m.state == member_state::Dead && m.isListed)
@@ -119,13 +119,13 @@
         unheard += m.state == member_state::Listed ? 1 : 0;
     }
     --m_syncRounds;
-    if (unheard * syncedShare < m_members.all().size())
+    if (unheard * syncDoneDivisor < m_members.all().size())
         m_syncRounds = 0;
     if (m_syncRounds > 0 && !reachable.empty())
         startProbe(pending_probe(reachable[m_random() % reachable.size()]), true, 0, now);
 }
 
-/// Each node in turn, in an order shuffled for each pass: the time until a dead node is probed is bounded.
+/// Returns each node in turn, reshuffled for each pass; this bounds the time until a failed node is probed.
 utils::node_id membership::nextTarget()
 {
     const auto isTarget = [](const member& m) { return m.isLive() || m.state == member_state::Listed; };
--- a/src/libs/fleet/membertable.cpp
+++ b/src/libs/fleet/membertable.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Alive and Leaving rank alike: a node that leaves says so with a higher incarnation.
+/// Alive and Leaving have the same rank: a leaving node announces it with a higher incarnation.
 int rankOf(member_state state)
 {
     switch (state) {
@@ -63,7 +63,7 @@
 {
     member* known = find(update.id);
     if (known == nullptr) {
-        // Death notices of strangers are of no use, and a member without an address cannot be reached.
+        // An update that an unknown node failed is of no use, and a member without an address is unreachable.
         if (update.address.empty() || rankOf(update.state) != 0)
             return false;
         known = &insert(update.id, now);
--- a/src/libs/fleet/membertable.h
+++ b/src/libs/fleet/membertable.h
@@ -8,32 +8,36 @@
 
 namespace fleet {
 
-/// The other nodes and what is believed of each, after SWIM's rules: a higher incarnation wins, and at
-/// the same incarnation the worse news does. Only a node itself raises its incarnation, so that it can
-/// refute a false suspicion and nobody else can revive it. Not thread safe.
+/// State of the other nodes according to the rules of SWIM: a higher incarnation wins; at the same
+/// incarnation the worse state wins. Only the node itself raises its incarnation, so it can refute a false
+/// suspicion and no other node can revive it. Not thread safe.
 class member_table {
 public:
     using member_map = std::map<utils::node_id, member>;
 
-    /// Takes the VM list without this node. Nodes no longer listed stay until they are dead or left.
+    /// Sets the VM list, which excludes this node. Nodes no longer listed stay until they are dead or have
+    /// left; those never heard are removed immediately.
     void setListed(const std::vector<listed_vm>& list, utils::time_point now);
-    /// Takes news of another node; whether it changed anything, so that it should be passed on.
+    /// Applies an update about another node. Returns whether it changed anything and should be passed on.
     bool apply(const wire::member_update& update, utils::time_point now);
-    /// Takes the state of a member that is known by its tag; unknown ones are skipped.
+    /// Applies the state of a member identified by its tag; unknown tags are ignored. Returns whether it
+    /// changed anything.
     bool apply(const wire::member_brief& brief, utils::time_point now);
-    /// A member that is not live was reached by someone at that time: it is silent since then at most.
+    /// Records that another node reached a member that is not live here, which moves its silentSince forward
+    /// to `at`.
     void noteHeard(const utils::node_id& id, utils::time_point at);
-    /// Erases nodes that are dead or left, not listed, and silent for `keep`.
+    /// Erases nodes that are not listed and have been dead or left for longer than `keep`.
     void forgetOld(utils::time_point now, utils::duration keep);
 
     const member_map& all() const { return m_members; }
-    /// Null when unknown. The pointer holds until the member is forgotten.
+    /// Returns null if unknown. The pointer is valid until the member is erased.
     member* find(const utils::node_id& id);
     const member* find(const utils::node_id& id) const;
     const member* find(wire::node_tag tag) const;
-    /// Members that may be at work, without this node.
+    /// Returns the number of live members, without this node.
     std::size_t liveCount() const;
-    /// Grows whenever the set of live members or of possible homes may have changed.
+    /// Returns a counter that increases whenever the set of live members or of possible homes may have
+    /// changed.
     std::uint64_t version() const { return m_version; }
 
 private:
--- a/src/libs/fleet/udpendpoint.cpp
+++ b/src/libs/fleet/udpendpoint.cpp
@@ -16,7 +16,7 @@
 namespace asio = boost::asio;
 using asio::ip::udp;
 
-/// Inverse of toText; nothing for what is not "ip:port".
+/// Inverse of toText(). Returns nothing if `text` is not "ip:port".
 std::optional<udp::endpoint> toEndpoint(const std::string& text)
 {
     const std::size_t colon = text.rfind(':');
@@ -87,7 +87,7 @@
         asio::buffer(m_buffer), m_from, [this](const boost::system::error_code& error, std::size_t size) {
             if (m_isStopped || error == asio::error::operation_aborted)
                 return;
-            // Other errors tell that an earlier datagram found no listener: the next receive goes on.
+            // Other errors report that an earlier datagram reached no listener; receiving continues.
             if (!error) {
                 m_node.onDatagram({ m_buffer.data(), size }, toText(m_from), utils::processNow());
                 flush();
@@ -102,7 +102,7 @@
         return;
     const utils::time_point due = m_node.nextTick();
     const auto never = utils::time_point::max();
-    // A node without a VM list has nothing due; with() schedules again once it has one.
+    // A node without a VM list has nothing due; with() reschedules once it has a list.
     constexpr auto idle = std::chrono::seconds(1);
     const utils::duration wait = due == never ? utils::duration(idle) : due - utils::processNow();
     m_timer.expires_after(std::max(wait, utils::duration::zero()));
--- a/src/libs/fleet/udpendpoint.h
+++ b/src/libs/fleet/udpendpoint.h
@@ -11,29 +11,29 @@
 
 namespace fleet {
 
-/// Runs a fleet_node on a UDP socket and a timer. One thread: that of the executor, which must be a single
-/// thread or a strand; every method is to be called on it. The node must outlive the endpoint, and the
-/// endpoint its executor's run.
+/// Runs a fleet_node on a UDP socket and a timer. The executor must be a single thread or a strand, and every
+/// method must be called on it. The node must outlive the endpoint, and the endpoint must outlive the
+/// executor's run.
 class udp_endpoint {
 public:
-    /// Called for each action of the node, on the executor.
+    /// Called on the executor for each action of the node.
     using action_handler = std::function<void(const fleet_action&)>;
 
-    /// Binds at once. Throws boost::system::system_error when the address cannot be listened on.
+    /// Binds the socket. Throws boost::system::system_error if the address cannot be bound.
     udp_endpoint(const boost::asio::any_io_executor& executor, const boost::asio::ip::udp::endpoint& listen,
         fleet_node& node, action_handler onAction);
 
-    /// Begins to receive and to tick.
+    /// Starts receiving and the timer.
     void start();
-    /// Ends both; pending handlers complete without effect.
+    /// Stops receiving and the timer; pending handlers complete without effect.
     void stop();
-    /// Runs `event` on the node with the present time, then sends and acts on what it left. Every call of
-    /// a method that changes the node goes through here.
+    /// Runs `event` on the node with the current time, then sends the resulting datagrams and executes the
+    /// actions. Every call that changes the node must go through this method.
     void with(const std::function<void(fleet_node&, utils::time_point)>& event);
 
-    /// The address in use, also when port 0 was asked for.
+    /// Returns the bound address; if port 0 was requested, with the assigned port.
     boost::asio::ip::udp::endpoint localEndpoint() const;
-    /// Datagrams that the system did not take; they count as lost.
+    /// Returns the number of datagrams that could not be sent; they are treated as lost.
     std::uint64_t sendFailures() const { return m_sendFailures; }
 
 private:
@@ -42,7 +42,7 @@
     void flush();
 
     static constexpr std::size_t bufferSize
-        = wire::datagram_codec::maxSize + 1; // one more shows an overlong one
+        = wire::datagram_codec::maxSize + 1; // one extra byte to detect oversized datagrams
 
     boost::asio::ip::udp::socket m_socket;
     boost::asio::steady_timer m_timer;
--- a/src/libs/fleet/updatequeue.cpp
+++ b/src/libs/fleet/updatequeue.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// With 2 log2(n) + 2 sends an update misses a node with a chance far below the loss of a probe, and
-/// the next probe of that node tells it anyway.
+/// With 2 log2(n) + 2 transmissions, the probability that an update misses a node is far below that of losing
+/// a probe, and the next probe of that node delivers the update as well.
 unsigned sendLimit(std::size_t fleetSize)
 {
     return 2 * static_cast<unsigned>(std::bit_width(fleetSize)) + 2;
--- a/src/libs/fleet/updatequeue.h
+++ b/src/libs/fleet/updatequeue.h
@@ -7,15 +7,15 @@
 
 namespace fleet {
 
-/// Changes of members that still travel on this node's probes. Each is sent a number of times that grows
-/// with the logarithm of the fleet, so that it reaches everyone with high probability while the traffic
-/// of a change does not grow with each node's fleet. Not thread safe.
+/// Member updates to be piggybacked on this node's datagrams. The number of times that an update is sent
+/// grows with the logarithm of the fleet size, so that it reaches all nodes with high probability while the
+/// traffic of a change stays small in a large fleet. Not thread safe.
 class update_queue {
 public:
-    /// Replaces what is queued about the same node. A minor update, which others learn without it too, is
-    /// sent a few times only.
+    /// Replaces a queued update about the same node. A minor update, which other nodes also learn by other
+    /// means, is sent only a few times.
     void add(wire::member_update update, bool isMinor = false);
-    /// The least often sent updates that fit into `bytes`; each counts as sent once.
+    /// Returns the least often sent updates that fit into `bytes` and counts each as sent.
     std::vector<wire::member_update> take(std::size_t bytes, std::size_t fleetSize);
     bool empty() const { return m_updates.empty(); }
 
