--- a/tests/auto/fleet/fleetchecks.h
+++ b/tests/auto/fleet/fleetchecks.h
@@ -9,7 +9,7 @@
 
 using virtualfleet::virtual_fleet;
 
-/// Servers for tests, spread over the data centres.
+/// Returns `count` servers, spread over the data centres.
 inline std::vector<fleet::homed_server> servers(std::size_t count, std::size_t dataCentres = 3)
 {
     std::vector<fleet::homed_server> list;
@@ -20,7 +20,7 @@
     return list;
 }
 
-/// Whether every node at work is current.
+/// Returns whether every running node is current.
 inline bool areAllCurrent(const virtual_fleet& fleet)
 {
     for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -30,7 +30,7 @@
     return true;
 }
 
-/// Whether every node at work takes exactly the nodes at work for possible homes.
+/// Returns whether every running node has as many home candidates as there are running nodes.
 inline bool doAllAgree(const virtual_fleet& fleet)
 {
     std::size_t atWork = 0;
@@ -43,7 +43,7 @@
     return true;
 }
 
-/// The parts of that server's cap that all nodes at work may use together now.
+/// Returns the sum of the shares of a server's cap that all running nodes may use now.
 inline double shareSum(const virtual_fleet& fleet, const utils::server_id& server)
 {
     double sum = 0;
@@ -52,7 +52,7 @@
     return sum;
 }
 
-/// The largest sum over all servers.
+/// Returns the largest shareSum() of all servers.
 inline double largestShareSum(const virtual_fleet& fleet, const std::vector<fleet::homed_server>& servers)
 {
     double largest = 0;
@@ -61,7 +61,7 @@
     return largest;
 }
 
-/// The smallest sum over all servers.
+/// Returns the smallest shareSum() of all servers.
 inline double smallestShareSum(const virtual_fleet& fleet, const std::vector<fleet::homed_server>& servers)
 {
     double smallest = 2;
@@ -70,7 +70,7 @@
     return smallest;
 }
 
-/// Whether all nodes at work have at least that revision in force.
+/// Returns whether all running nodes have at least `revision` in force.
 inline bool isInForce(const virtual_fleet& fleet, utils::config_revision revision)
 {
     for (std::size_t i = 0; i < fleet.size(); ++i) {
@@ -80,7 +80,7 @@
     return true;
 }
 
-/// Rounding of sums of fractions.
+/// Tolerance for rounding errors in sums of fractions.
 constexpr double tolerance = 1e-9;
 
 } // namespace fleetchecks
--- a/tests/auto/fleet/tst_configspread.cpp
+++ b/tests/auto/fleet/tst_configspread.cpp
@@ -9,8 +9,9 @@
 
 BOOST_AUTO_TEST_CASE(a_change_is_in_force_everywhere_within_a_second_at_seven_nodes)
 {
-    // An operator revokes an approval. Within a second no node serves that team any more, although one
-    // datagram in twenty is lost; and the operator is told when a majority has it.
+    // An operator revokes an approval. Within a second, no node may serve that calling team any more,
+    // although one datagram in twenty is lost. The operator must be notified when a majority has the
+    // revision.
     virtual_fleet fleet({});
     fleet.run(10s);
     for (utils::config_revision revision = 1; revision <= 20; ++revision) {
@@ -28,8 +29,8 @@
 
 BOOST_AUTO_TEST_CASE(platform_calls_do_not_grow_with_the_fleet)
 {
-    // Ten changes reach nine nodes, then ninety. The platform counts each call and each waiting watch;
-    // both counts must be the same at either size.
+    // Ten changes are distributed to nine nodes, then to ninety. The numbers of platform calls and of open
+    // watches must be the same for both fleet sizes.
     std::vector<std::uint64_t> calls;
     std::vector<std::size_t> watches;
     for (const std::size_t nodes : { 9U, 90U }) {
@@ -53,8 +54,8 @@
 
 BOOST_AUTO_TEST_CASE(a_new_node_in_an_outage_takes_the_highest_revision_from_its_peers)
 {
-    // The platform is down; one node missed the last change and is the first to answer the new VM, which
-    // must still end with the newest revision and never go back to the earlier one.
+    // The platform is down. One node missed the last change and is the first to answer the new VM, which must
+    // still reach the newest revision and never return to the earlier one.
     virtual_fleet fleet({});
     fleet.run(10s);
     fleet.moveHead(1);
@@ -75,8 +76,8 @@
 
 BOOST_AUTO_TEST_CASE(an_earlier_revision_that_arrives_late_is_refused)
 {
-    // Two fetches overtake each other: the answer with the earlier document comes last. Putting it in
-    // force would give a revoked team its access back.
+    // Two fetches complete out of order: the response with the earlier document arrives last. Putting it in
+    // force would restore the access of a calling team whose approval was revoked.
     fleet::config_spread spread({ utils::node_id("a"), utils::data_centre_id("dc") }, {}, 1);
     const utils::time_point now {};
     spread.onHead(8, now);
@@ -84,14 +85,14 @@
     BOOST_TEST(!spread.mayAdopt(7));
     BOOST_TEST(!spread.mayAdopt(8));
     BOOST_TEST(spread.mayAdopt(9));
-    spread.onHead(5, now); // the platform answers from an old copy
+    spread.onHead(5, now); // the platform answers from a stale copy
     BOOST_TEST(spread.known() == 8U);
 }
 
 BOOST_AUTO_TEST_CASE(a_node_that_cannot_get_a_known_revision_stops_serving)
 {
-    // Peers tell of revision 2, but every fetch fails. After T the node is not current: it would go on
-    // serving a team whose approval the others no longer honour.
+    // Peers report revision 2, but every fetch fails. After T the node must not be current; otherwise it
+    // would continue to serve a calling team whose approval the other nodes no longer accept.
     fleet::currency currency(utils::node_id("n0"), {});
     const utils::time_point start {};
     currency.setListed({ { utils::node_id("n0"), "10.0.0.1:1", utils::data_centre_id("dc"), false } }, start);
--- a/tests/auto/fleet/tst_currency.cpp
+++ b/tests/auto/fleet/tst_currency.cpp
@@ -16,51 +16,51 @@
     return list;
 }
 
-/// Samples for `time`; the largest number of islands that were current at once.
-std::size_t mostCurrentIslands(
-    virtual_fleet& fleet, const std::vector<std::vector<std::size_t>>& islands, utils::duration time)
+/// Samples for `time`. Returns the largest number of partitions that were current at the same time.
+std::size_t maxCurrentPartitions(
+    virtual_fleet& fleet, const std::vector<std::vector<std::size_t>>& partitions, utils::duration time)
 {
-    std::size_t most = 0;
+    std::size_t largest = 0;
     for (utils::duration passed {}; passed < time; passed += 20ms) {
         fleet.run(20ms);
         std::size_t current = 0;
-        for (const auto& island : islands) {
-            current += std::ranges::any_of(island, [&](std::size_t i) {
+        for (const auto& partition : partitions) {
+            current += std::ranges::any_of(partition, [&](std::size_t i) {
                 return fleet.isAtWork(i) && fleet.node(i).evidence().hasMajority(fleet.now());
             });
         }
-        most = std::max(most, current);
+        largest = std::max(largest, current);
     }
-    return most;
+    return largest;
 }
 
 } // namespace
 
 BOOST_AUTO_TEST_SUITE(currency)
 
-BOOST_AUTO_TEST_CASE(two_islands_are_never_both_current_by_majority)
+BOOST_AUTO_TEST_CASE(two_partitions_are_never_both_current_by_majority)
 {
-    // The network splits seven nodes three to four, the platform is down. Once T has passed since the cut,
-    // a caller of the smaller island is refused, since an approval may have been revoked on the other
-    // side; callers of the larger one are served.
+    // A network partition separates three of seven nodes from the other four while the platform is down. Once
+    // T has passed, callers of the smaller partition must be refused, since an approval may have been revoked
+    // on the other side; callers of the larger one are served.
     virtual_fleet fleet({});
     fleet.setPlatformUp(false);
     fleet.run(10s);
     fleet.network().split({ names(0, 2), names(3, 6) });
     fleet.run(fleet.node(0).evidence().window());
-    BOOST_TEST(mostCurrentIslands(fleet, { { 0, 1, 2 }, { 3, 4, 5, 6 } }, 60s) == 1U);
+    BOOST_TEST(maxCurrentPartitions(fleet, { { 0, 1, 2 }, { 3, 4, 5, 6 } }, 60s) == 1U);
     BOOST_TEST(!fleet.node(1).isCurrent(fleet.now()));
     BOOST_TEST(fleet.node(5).isCurrent(fleet.now()));
     fleet.setPlatformUp(true);
-    // With the platform back, the smaller island reads the head itself and serves.
+    // With the platform available again, the smaller partition reads the head itself and serves.
     BOOST_TEST(fleet.runUntil([&] { return fleet.node(1).isCurrent(fleet.now()); }, 5s).has_value());
     BOOST_TEST((fleet.node(1).reason(fleet.now()) == fleet::currency_reason::HeadRead));
 }
 
-BOOST_AUTO_TEST_CASE(a_large_fleet_split_in_two_is_never_current_twice)
+BOOST_AUTO_TEST_CASE(only_one_partition_of_a_large_fleet_is_current)
 {
-    // As above at fifty nodes, where the evidence of twelve witnesses travels through others: what goes
-    // round within an island after the cut must not keep it current.
+    // As above with fifty nodes, where evidence of twelve witnesses is relayed by other nodes: evidence that
+    // circulates within a partition after the cut must not keep it current.
     virtualfleet::fleet_options options;
     options.nodes = 50;
     virtual_fleet fleet(options);
@@ -75,14 +75,14 @@
     }
     fleet.network().split({ names(0, 24), names(25, 49) });
     fleet.run(fleet.node(0).evidence().window());
-    BOOST_TEST(mostCurrentIslands(fleet, { first, second }, 30s) <= 1U);
+    BOOST_TEST(maxCurrentPartitions(fleet, { first, second }, 30s) <= 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_stopped_node_is_not_current_when_it_goes_on)
+BOOST_AUTO_TEST_CASE(a_stopped_node_is_not_current_when_it_resumes)
 {
-    // A node is stopped (SIGSTOP) just after it sent a probe. The answer, with the witnesses' times in it,
-    // waits in its socket for half a minute and is read first when the node goes on. It must not make the
-    // node current: an approval may have been revoked meanwhile. A new probe's answer does.
+    // A node is stopped (SIGSTOP) just after it sent a probe. The answer, with the witnesses' times in it, is
+    // queued in its socket for half a minute and read first when the node resumes. It must not make the node
+    // current, since an approval may have been revoked in the meantime. The answer to a new probe does.
     virtual_fleet fleet({});
     fleet.setPlatformUp(false);
     fleet.run(10s);
@@ -99,11 +99,11 @@
     }
 }
 
-BOOST_AUTO_TEST_CASE(lists_that_disagree_do_not_make_two_majorities)
+BOOST_AUTO_TEST_CASE(differing_lists_do_not_yield_two_majorities)
 {
-    // One VM is replaced while the network is split. Nodes 0 to 3 still have the old list (0 to 6), nodes
-    // 4 to 7 the new one (1 to 7): each side hears four of the seven VMs of its own list. Only because the
-    // old list still counts for those who got the new one, not both sides are current.
+    // One VM is replaced during a network partition. Nodes 0 to 3 still have the old list (0 to 6), nodes 4
+    // to 7 the new one (1 to 7), so each side hears four of the seven VMs of its own list. Both sides would
+    // be current if the old list did not still count for the nodes that have the new one.
     virtual_fleet fleet({});
     fleet.setPlatformUp(false);
     fleet.run(10s);
@@ -113,26 +113,26 @@
     fleet.run(fleet.node(0).evidence().window());
     for (std::size_t i = 4; i <= added; ++i)
         fleet.setListed(i, fleet.rows(1, 7));
-    BOOST_TEST(mostCurrentIslands(fleet, { { 0, 1, 2, 3 }, { 4, 5, 6 } }, 8s) == 1U);
+    BOOST_TEST(maxCurrentPartitions(fleet, { { 0, 1, 2, 3 }, { 4, 5, 6 } }, 8s) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_left_of_a_data_centre_loss_serves_at_once_with_the_platform_up)
+BOOST_AUTO_TEST_CASE(survivors_of_a_data_centre_loss_serve_immediately_with_the_platform_up)
 {
-    // Four of seven VMs fail with their data centres. The three that are left are no majority, but read
-    // the head themselves, so callers are served; each engine gets three sevenths of its cap until the
-    // list has dropped the lost VMs, then all of it.
+    // Four of seven VMs fail with their data centres. The remaining three are not a majority, but read the
+    // head themselves, so callers are served. Each engine gets three sevenths of its cap until the lost VMs
+    // are removed from the list, then its whole cap.
     virtualfleet::fleet_options options;
     options.servers = servers(12);
     virtual_fleet fleet(options);
     fleet.run(20s);
     for (const std::size_t lost : { 1, 2, 4, 5 })
         fleet.kill(lost);
-    unsigned refusing = 0;
+    unsigned refusedSteps = 0;
     for (int step = 0; step < 200; ++step) {
         fleet.run(100ms);
-        refusing += areAllCurrent(fleet) ? 0 : 1;
+        refusedSteps += areAllCurrent(fleet) ? 0 : 1;
     }
-    BOOST_TEST(refusing <= 3U); // one round of head reads
+    BOOST_TEST(refusedSteps <= 3U); // one round of head reads
     BOOST_TEST(fleet.node(0).capShare(fleet.now()) == 3.0 / 7, boost::test_tools::tolerance(tolerance));
     fleet.setListedEverywhere({ fleet.rowOf(0), fleet.rowOf(3), fleet.rowOf(6) });
     fleet.run(30s);
@@ -152,10 +152,10 @@
     BOOST_TEST(smallestShareSum(fleet, options.servers) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(a_rolling_replacement_of_all_keeps_someone_current)
+BOOST_AUTO_TEST_CASE(a_rolling_replacement_keeps_a_majority_of_nodes_current)
 {
-    // All seven VMs are replaced one by one within a minute, each old one leaving in order; the list
-    // lags by three seconds. Callers must find current nodes all the time, also with the platform down.
+    // All seven VMs are replaced one by one within a minute; each old one leaves gracefully, and the list
+    // lags by three seconds. Callers must find current nodes at all times, even with the platform down.
     virtualfleet::fleet_options options;
     options.servers = servers(12);
     virtual_fleet fleet(options);
--- a/tests/auto/fleet/tst_fleetnode.cpp
+++ b/tests/auto/fleet/tst_fleetnode.cpp
@@ -20,8 +20,8 @@
 
 BOOST_AUTO_TEST_CASE(a_killed_node_is_dead_to_all_within_seconds)
 {
-    // A VM vanishes without a word. The others' probes of it stay unanswered, directly and through others;
-    // it is suspected, has two seconds to object, and is dead to everyone.
+    // A VM fails without announcing that it leaves. Direct and relayed probes of it are unanswered, it is
+    // suspected, has two seconds to refute the suspicion, and is then dead in the view of all nodes.
     virtual_fleet fleet({});
     fleet.run(10s);
     fleet.kill(3);
@@ -30,24 +30,24 @@
     BOOST_TEST(utils::toSeconds(*detected) < 8);
 }
 
-BOOST_AUTO_TEST_CASE(lost_datagrams_kill_nobody)
+BOOST_AUTO_TEST_CASE(packet_loss_causes_no_false_deaths)
 {
-    // One datagram in twenty is lost for five minutes. A probe of a healthy node fails now and then, and
-    // without the probes through others and the time to object, callers would see homes move for nothing.
+    // One datagram in twenty is lost for five minutes, so probes of healthy nodes sometimes fail. Without
+    // relayed probes and the time for refutation, callers would see homes move needlessly.
     virtual_fleet fleet({});
     fleet.run(10s);
-    bool hasDeath = false;
+    bool hasFalseDeath = false;
     for (int second = 0; second < 300; ++second) {
         fleet.run(1s);
-        hasDeath = hasDeath || !doAllAgree(fleet) || !areAllCurrent(fleet);
+        hasFalseDeath = hasFalseDeath || !doAllAgree(fleet) || !areAllCurrent(fleet);
     }
-    BOOST_TEST(!hasDeath);
+    BOOST_TEST(!hasFalseDeath);
 }
 
-BOOST_AUTO_TEST_CASE(a_link_that_is_cut_between_two_nodes_kills_nobody)
+BOOST_AUTO_TEST_CASE(a_cut_link_between_two_nodes_causes_no_false_deaths)
 {
-    // Two nodes cannot reach each other, but all others reach both. Each learns through the others that
-    // the other one lives; views stay equal, nothing moves, and hardly a suspicion has to be refuted.
+    // Two nodes cannot reach each other, but all other nodes reach both. Each learns from the other nodes
+    // that its peer is alive: views stay equal, no home moves, and few suspicions have to be refuted.
     virtual_fleet fleet({});
     fleet.run(10s);
     fleet.network().setCut(virtual_fleet::name(0), virtual_fleet::name(1), true);
@@ -61,11 +61,11 @@
     BOOST_TEST(fleet.node(0).members().refutations() + fleet.node(1).members().refutations() < 8U);
 }
 
-BOOST_AUTO_TEST_CASE(a_paused_node_suspects_nobody)
+BOOST_AUTO_TEST_CASE(a_paused_node_suspects_no_other_node)
 {
-    // A process is stopped for five seconds just after it sent a probe. When it goes on, its timer comes
-    // before the answers that wait in its socket: the probe looks unanswered. A detector that believed it
-    // would suspect a healthy node, and every suspicion is news to the whole fleet.
+    // A process is stopped for five seconds just after it sent a probe. When it resumes, its timer fires
+    // before the answers queued in its socket are read, so the probe appears unanswered. Without the pause
+    // check the node would suspect a healthy node, and every suspicion is sent to the whole fleet.
     virtual_fleet fleet({});
     fleet.run(10s);
     unsigned suspects = 0;
@@ -83,7 +83,7 @@
     BOOST_TEST(doAllAgree(fleet));
 }
 
-BOOST_AUTO_TEST_CASE(a_split_heals_without_a_restart)
+BOOST_AUTO_TEST_CASE(a_network_partition_heals_without_a_restart)
 {
     virtual_fleet fleet({});
     fleet.run(10s);
@@ -96,10 +96,11 @@
     BOOST_TEST(fleet.runUntil([&] { return doAllAgree(fleet) && areAllCurrent(fleet); }, 20s).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_node_is_home_of_nothing_within_two_seconds)
+BOOST_AUTO_TEST_CASE(a_leaving_node_hands_over_its_servers_within_two_seconds)
 {
-    // An operator replaces a VM. Its servers must be someone else's within two seconds, and while one of
-    // its requests still runs it stays, so that the caller's stream is not cut; then it leaves by itself.
+    // An operator replaces a VM. Its servers must have another home within two seconds. While one of its
+    // requests is in flight, the node stays so that the caller's stream is not cut; then it leaves on its
+    // own.
     virtualfleet::fleet_options options;
     options.servers = servers(12);
     virtual_fleet fleet(options);
@@ -115,25 +116,25 @@
     fleet.with(0, [&](fleet::fleet_node& node, utils::time_point now) { node.setInFlight(busy, 2, now); });
     fleet.leave(0);
     fleet.run(2s);
-    std::size_t inheritor = 0;
+    std::size_t successor = 0;
     for (const fleet::homed_server& server : options.servers) {
         BOOST_TEST(fleet.node(0).shareOf(server.id, fleet.now()) == 0);
         BOOST_TEST(shareSum(fleet, server.id) > 0);
     }
     for (std::size_t i = 1; i < fleet.size(); ++i)
-        inheritor = fleet.node(i).shareOf(busy, fleet.now()) > 0 ? i : inheritor;
-    BOOST_TEST(fleet.node(inheritor).handover().inherited(busy) == 2U);
+        successor = fleet.node(i).shareOf(busy, fleet.now()) > 0 ? i : successor;
+    BOOST_TEST(fleet.node(successor).handover().inherited(busy) == 2U);
     BOOST_TEST(fleet.node(0).state() == "leaving");
     fleet.with(0, [&](fleet::fleet_node& node, utils::time_point now) { node.setInFlight(busy, 0, now); });
     fleet.run(2s);
-    BOOST_TEST(fleet.node(inheritor).handover().inherited(busy) == 0U);
+    BOOST_TEST(fleet.node(successor).handover().inherited(busy) == 0U);
     BOOST_TEST(!fleet.isRunning(0));
     BOOST_TEST(fleet.runUntil([&] { return doAllAgree(fleet); }, 5s).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(control_traffic_stays_within_the_budget)
 {
-    // Each node may spend 2 KB/s on control traffic, whatever the fleet's size; IP and UDP headers count.
+    // Each node may use 2 KB/s for control traffic at any fleet size, including IP and UDP headers.
     for (const std::size_t nodes : { 7U, 50U }) {
         virtualfleet::fleet_options options;
         options.nodes = nodes;
--- a/tests/auto/fleet/tst_handover.cpp
+++ b/tests/auto/fleet/tst_handover.cpp
@@ -20,7 +20,7 @@
     return list;
 }
 
-double largestDuring(
+double largestShareSumDuring(
     virtual_fleet& fleet, const std::vector<fleet::homed_server>& servers, utils::duration time)
 {
     double largest = 0;
@@ -52,8 +52,8 @@
 
 BOOST_AUTO_TEST_CASE(a_joining_node_takes_its_servers_over_without_a_gap_or_an_overlap)
 {
-    // An eighth VM starts and becomes home of some servers. Until the old homes have granted them, it
-    // admits nothing; callers see no engine with two homes, and none without one for more than a second.
+    // An eighth VM starts and becomes home of some servers. It admits nothing until the old homes have
+    // granted its claims. No engine may have two homes, or be without one for more than a second.
     virtual_fleet fleet(withServers());
     fleet.run(20s);
     const std::vector<fleet::listed_vm> list = fleet.rows(0, 8);
@@ -74,45 +74,45 @@
     BOOST_TEST(isHome);
 }
 
-BOOST_AUTO_TEST_CASE(a_split_and_its_healing_never_pass_the_cap)
+BOOST_AUTO_TEST_CASE(a_network_partition_and_its_healing_never_exceed_the_cap)
 {
-    // Seven nodes split three to four for half a minute, then hear each other again. On both sides a node
-    // becomes home of each engine. While it lasts the shares of both add up to the cap at most, and when
-    // the sides meet, neither takes the whole before the other has granted it.
+    // A network partition separates three of seven nodes from the other four for half a minute. On both sides
+    // a node becomes home of each engine. During the partition, the shares of both must add up to at most the
+    // cap; after it heals, neither may take the whole cap before the other has granted it.
     virtual_fleet fleet(withServers());
     fleet.run(20s);
     fleet.network().split({ names({ 0, 1, 2 }), names({ 3, 4, 5, 6 }) });
-    double largest = largestDuring(fleet, servers(12), 30s);
+    double largest = largestShareSumDuring(fleet, servers(12), 30s);
     const double during = smallestShareSum(fleet, servers(12));
     fleet.network().mendAll();
-    largest = std::max(largest, largestDuring(fleet, servers(12), 30s));
+    largest = std::max(largest, largestShareSumDuring(fleet, servers(12), 30s));
     BOOST_TEST(largest <= 1 + tolerance);
-    BOOST_TEST(during == 1.0, boost::test_tools::tolerance(tolerance)); // no island is dark
+    BOOST_TEST(during == 1.0, boost::test_tools::tolerance(tolerance)); // both sides serve
     BOOST_TEST(smallestShareSum(fleet, servers(12)) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(a_stopped_home_that_goes_on_never_passes_the_cap)
+BOOST_AUTO_TEST_CASE(a_resumed_home_never_exceeds_the_cap)
 {
-    // A home is stopped for fifteen seconds; another takes its engines over. When it goes on, it still
-    // believes that it is home. It must ask before it admits, or the engine gets twice its cap.
+    // A home is stopped for fifteen seconds, and another node takes over its engines. When it resumes, it
+    // still is home in its own view. It must send a claim before it admits, or the engine gets twice its cap.
     virtual_fleet fleet(withServers());
     fleet.run(20s);
     double largest = 0;
     for (std::size_t stopped = 0; stopped < 7; ++stopped) {
         fleet.stop(stopped);
-        largest = std::max(largest, largestDuring(fleet, servers(12), 15s));
+        largest = std::max(largest, largestShareSumDuring(fleet, servers(12), 15s));
         fleet.resume(stopped);
         largest = std::max(largest, largestShareSum(fleet, servers(12)));
-        largest = std::max(largest, largestDuring(fleet, servers(12), 10s));
+        largest = std::max(largest, largestShareSumDuring(fleet, servers(12), 10s));
     }
     BOOST_TEST(largest <= 1 + tolerance);
     BOOST_TEST(smallestShareSum(fleet, servers(12)) == 1.0);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_home_is_replaced_and_its_engine_counts_by_report)
+BOOST_AUTO_TEST_CASE(a_dead_home_is_replaced_and_the_server_report_counts)
 {
-    // A home dies with requests in flight. Nobody can tell how many still run, so that the new home waits
-    // until T has passed and goes by the engine's own report at first.
+    // A home dies with requests in flight. No node knows how many still run, so the new home waits until T
+    // has passed and at first relies on the engine's own load report.
     virtual_fleet fleet(withServers());
     fleet.run(20s);
     fleet.kill(1);
@@ -132,9 +132,9 @@
 
 RC_BOOST_PROP(no_history_of_faults_passes_the_cap, ())
 {
-    // Nodes are stopped, continued, killed and replaced, the network splits and heals, lists lag: in any
-    // order, for a virtual minute. At every 20 ms no engine's homes have more than its cap together, and
-    // two seconds' worth of an earlier revision never comes back.
+    // Nodes are stopped, resumed, killed and replaced, network partitions start and heal, and lists lag, in
+    // any order for a virtual minute. Checked every 20 ms: the homes of an engine never exceed its cap
+    // together, and two seconds' worth of an earlier revision never comes back.
     virtualfleet::fleet_options options = withServers();
     options.seed = *rc::gen::inRange<std::uint64_t>(1, 1'000'000);
     virtual_fleet fleet(options);
@@ -170,7 +170,7 @@
             fleet.network().mendAll();
             break;
         case 5: {
-            // The list catches up: the running nodes, and a new one.
+            // The list is updated to the running nodes and a new one.
             std::vector<fleet::listed_vm> list;
             for (std::size_t i = 0; i < fleet.size(); ++i) {
                 if (fleet.isRunning(i))
@@ -185,7 +185,7 @@
             fleet.moveHead(++revision);
             break;
         }
-        largest = std::max(largest, largestDuring(fleet, options.servers, 5s));
+        largest = std::max(largest, largestShareSumDuring(fleet, options.servers, 5s));
     }
     RC_ASSERT(largest <= 1 + tolerance);
     for (std::size_t i = 0; i < fleet.size(); ++i)
--- a/tests/auto/fleet/tst_udpendpoint.cpp
+++ b/tests/auto/fleet/tst_udpendpoint.cpp
@@ -14,7 +14,7 @@
 using asio::ip::udp;
 using namespace std::chrono_literals;
 
-/// A loopback port that was free a moment ago.
+/// Returns a loopback endpoint whose port was free when checked.
 udp::endpoint freeEndpoint(asio::io_context& context)
 {
     const udp::socket probe(context, udp::endpoint(asio::ip::address_v4::loopback(), 0));
@@ -37,7 +37,7 @@
     return settings;
 }
 
-/// Two nodes on loopback sockets, each with its key.
+/// Two nodes on loopback sockets, each with its own key.
 struct two_nodes {
     two_nodes(const std::string& firstKey, const std::string& secondKey)
         : chart(
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Runs until it holds; false when it does not within `limit`.
+    /// Runs until `condition` holds. Returns false if it does not hold within `limit`.
     template <class Condition> bool runUntil(Condition condition, std::chrono::seconds limit)
     {
         const auto end = std::chrono::steady_clock::now() + limit;
@@ -97,10 +97,10 @@
     nodes.secondEndpoint.stop();
 }
 
-BOOST_AUTO_TEST_CASE(a_node_with_another_key_is_not_heard)
+BOOST_AUTO_TEST_CASE(a_node_with_a_different_key_is_ignored)
 {
-    // A VM was set up with a wrong key. Its datagrams arrive, are dropped and counted, and neither side
-    // takes the other for a member.
+    // A VM was set up with a wrong key. Its datagrams are received, dropped and counted, and neither node
+    // considers the other a member.
     two_nodes nodes("key", "another key");
     BOOST_TEST(
         nodes.runUntil([&] { return nodes.first.codec().dropped(wire::drop_reason::BadCode) >= 3; }, 30s));
