--- a/src/libs/wire/acceptloop.h
+++ b/src/libs/wire/acceptloop.h
@@ -12,14 +12,15 @@
 
 namespace wire {
 
-/// Connections accepted in one turn. One in a turn, while hundreds of others had something to do in each,
-/// left callers waiting for 2.6 s at 450 requests/s on a quarter of a core, unseen: no time limit of a
-/// request runs before it is read. With 16 the wait is inside, where the limits hold; more would starve those
-/// others.
+/// Connections accepted in one iteration of the event loop. With one per iteration, while hundreds of open
+/// connections had work in each, callers waited 2.6 s in the listen queue at 450 requests/s on a quarter of a
+/// core. The node did not notice this wait, since no request timeout runs before the request is read. With 16
+/// the requests wait inside the process, where the timeouts apply; more would starve the open connections.
 inline constexpr int acceptedAtOnce = 16;
 
 /// Accepts connections until the acceptor is closed and runs `session(socket)`, a coroutine, for each.
-/// Out of file descriptors it waits instead of spinning: those accepted go on and free theirs.
+/// After an error, such as no free file descriptors, it waits 50 ms instead of spinning; the open sessions
+/// continue and free theirs.
 template <class Session>
 boost::asio::awaitable<void> acceptLoop(boost::asio::ip::tcp::acceptor& acceptor, Session session)
 {
@@ -41,13 +42,13 @@
             boost::asio::ip::tcp::socket next(acceptor.get_executor());
             acceptor.accept(next, error);
             if (error)
-                break; // nobody else waits; another error shows at the next wait
+                break; // the listen queue is empty; any other error recurs at the next async_accept
             boost::asio::co_spawn(acceptor.get_executor(), session(std::move(next)), boost::asio::detached);
         }
     }
 }
 
-/// Listens on the address; throws boost::system::system_error when it cannot.
+/// Listens on `endpoint`. Throws boost::system::system_error on failure.
 boost::asio::ip::tcp::acceptor listenOn(
     const boost::asio::any_io_executor& executor, const boost::asio::ip::tcp::endpoint& endpoint);
 
--- a/src/libs/wire/codec.h
+++ b/src/libs/wire/codec.h
@@ -15,7 +15,7 @@
 
 namespace wire {
 
-/// Bytes of a message, the same on every machine. Thread safe.
+/// Serializes a message in a platform-independent byte order. Thread safe.
 template <class Message> std::string encode(const Message& message)
 {
     std::ostringstream out;
@@ -24,7 +24,7 @@
     return std::move(out).str();
 }
 
-/// The message in those bytes, or nothing when they are not one or when bytes are left over. Thread safe.
+/// Deserializes a message. Returns std::nullopt for malformed input and for trailing bytes. Thread safe.
 template <class Message> std::optional<Message> decode(std::string_view bytes)
 {
     try {
@@ -36,8 +36,8 @@
             return std::nullopt;
         return message;
     } catch (const std::exception&) {
-        // cereal throws its own exception for short input, and bad_alloc or length_error for a size
-        // field that lies: all of them mean bytes that no node of ours wrote.
+        // cereal throws its own exception for truncated input, and bad_alloc or length_error for a wrong size
+        // field: all of them mean that no node of the fleet encoded these bytes.
         return std::nullopt;
     }
 }
--- a/src/libs/wire/datagram.h
+++ b/src/libs/wire/datagram.h
@@ -11,38 +11,39 @@
 
 namespace wire {
 
-/// A node's name in four bytes, for lists that name many nodes.
+/// Hash of a node's name in four bytes, for lists of many nodes.
 using node_tag = std::uint32_t;
-/// Thread safe.
+/// The tag of `node`. Thread safe.
 node_tag tagOf(const utils::node_id& node);
 
+/// Type of a membership message.
 enum class datagram_kind : std::uint8_t {
     Ping,
     Ack,
     ProbeRequest, ///< asks the receiver to probe `subject`
-    RelayedAck, ///< `subject` answered the receiver's request
-    Announce, ///< news that should not wait for the next probe
+    RelayedAck, ///< `subject` answered the probe that the receiver requested
+    Announce, ///< updates that should not wait for the next probe
     Count_
 };
 
-/// What a node believes of another, in the order in which a later one wins at the same incarnation.
+/// State of a member as another node knows it. At equal incarnation the state further down takes precedence.
 enum class member_state : std::uint8_t {
-    Listed, ///< in the VM list, never heard
+    Listed, ///< in the VM list, not heard from yet
     Alive,
-    Leaving, ///< alive, but takes nothing new
+    Leaving, ///< alive, but accepts no new work
     Suspect,
     Dead,
     Left,
     Count_
 };
 
-/// A change of a member, as it travels on probes.
+/// A change of a member's state, piggybacked on probes.
 struct member_update {
     utils::node_id id;
     member_state state = member_state::Alive;
     std::uint32_t incarnation = 0;
     std::string address; ///< "ip:port"; empty unless Alive or Leaving
-    std::string dataCentre; ///< as address
+    std::string dataCentre; ///< empty unless Alive or Leaving
 
     /// Bytes on the wire. Thread safe.
     std::size_t size() const;
@@ -59,7 +60,7 @@
     }
 };
 
-/// State of a member without its address, for nodes that join and have the VM list.
+/// State of a member without its address, for joining nodes, which have the addresses from the VM list.
 struct member_brief {
     node_tag node = 0;
     member_state state = member_state::Alive;
@@ -75,11 +76,11 @@
     }
 };
 
-/// Proof that a witness was reached not longer ago than `age`.
+/// Evidence that the witness `node` was reached at most `age` ago.
 struct evidence {
     node_tag node = 0;
     std::uint8_t age = 0; ///< in units of `ageUnitMs`, rounded up
-    std::uint8_t revisionLag = 0; ///< how far it was behind the sender's known revision, up to unknownLag
+    std::uint8_t revisionLag = 0; ///< revisions behind the sender's `revisionKnown`, at most unknownLag
 
     static constexpr unsigned ageUnitMs = 100;
     static constexpr unsigned unknownLag = 255;
@@ -88,7 +89,7 @@
     template <class Archive> void serialize(Archive& archive) { archive(node, age, revisionLag); }
 };
 
-/// What a digest entry is about.
+/// Subject of a digest entry.
 enum class digest_kind : std::uint8_t {
     PoolLoad,
     HomeLoad,
@@ -97,14 +98,14 @@
     Count_
 };
 
-/// One small fact of one node; the newest version per (kind, origin, key) wins.
+/// One value published by one node; the newest version per (kind, origin, key) wins.
 struct digest_entry {
     digest_kind kind = digest_kind::PoolLoad;
     node_tag origin = 0;
     varint version;
     std::uint8_t ageSeconds = 0;
     std::string key;
-    std::string value; ///< opaque to the fleet
+    std::string value; ///< opaque to the membership protocol
 
     /// Bytes on the wire. Thread safe.
     std::size_t size() const;
@@ -118,19 +119,20 @@
     }
 };
 
+/// Message of the protocol that moves the home of a backend server from one node to another.
 enum class handover_kind : std::uint8_t {
-    Claim, ///< "I am the server's home in my view: do you admit for it?"
-    Grant, ///< "I admit nothing more; so many requests of mine still run"
-    Refuse, ///< "I am its home and rank above you"
-    Drain, ///< "of the granted ones, so many still run"
+    Claim, ///< the sender is the server's home in its view; asks whether the receiver admits for it
+    Grant, ///< the sender admits no more requests; `inFlight` of its own still run
+    Refuse, ///< the sender is the server's home and ranks above the receiver
+    Drain, ///< `inFlight` of the requests named in the grant still run
     Count_
 };
 
-/// One step in the move of a backend server's home.
+/// One message about the move of a backend server's home.
 struct handover_item {
     handover_kind kind = handover_kind::Claim;
     std::string server;
-    varint round; ///< of the claimant; answers repeat it
+    varint round; ///< round number of the claimant, echoed in replies
     varint inFlight;
 
     /// Bytes on the wire. Thread safe.
@@ -144,21 +146,21 @@
     }
 };
 
-/// Everything that nodes tell each other by UDP. Unused lists cost one byte each.
+/// The message that nodes exchange by UDP. Empty lists take one byte each.
 struct datagram {
     datagram_kind kind = datagram_kind::Ping;
     utils::node_id sender;
-    varint bootId; ///< grows from one start of the sender to the next
+    varint bootId; ///< increases with each start of the sender
     varint sequence; ///< filled in by the codec
-    std::uint64_t nonce = 0; ///< of the probe; an answer repeats it
+    std::uint64_t nonce = 0; ///< identifies the probe; echoed in the reply
     std::uint32_t incarnation = 0; ///< the sender's
     member_state senderState = member_state::Alive;
     varint revisionInForce;
     varint revisionKnown;
     utils::node_id subject; ///< ProbeRequest and RelayedAck: the probed node
-    member_state believedState = member_state::Alive; ///< what the sender believes of the receiver
-    varint believedIncarnation; ///< 0 unless it needs refuting
-    bool wantsMembers = false; ///< a joining node asks for `briefs` beyond `memberCursor`
+    member_state believedState = member_state::Alive; ///< state of the receiver as the sender knows it
+    varint believedIncarnation; ///< 0 unless the receiver has to refute `believedState`
+    bool wantsMembers = false; ///< a joining node requests `briefs` after `memberCursor`
     varint memberCursor; ///< a node_tag
     std::vector<member_update> updates;
     std::vector<member_brief> briefs;
--- a/src/libs/wire/forwardmessages.h
+++ b/src/libs/wire/forwardmessages.h
@@ -10,7 +10,7 @@
 
 namespace wire {
 
-/// One header line, in the order in which it came.
+/// One HTTP header field. Lists of them keep the order of receipt.
 struct header_line {
     std::string name;
     std::string value;
@@ -18,7 +18,7 @@
     template <class Archive> void serialize(Archive& archive) { archive(name, value); }
 };
 
-/// Load of a backend server as its home has just told.
+/// Load of a backend server as reported by its home node.
 struct server_load {
     utils::server_id server;
     std::uint32_t inFlight = 0;
@@ -27,7 +27,7 @@
     template <class Archive> void serialize(Archive& archive) { archive(server, inFlight, slots); }
 };
 
-/// A request on its way from the entry node to the home node of a backend server.
+/// A request that the entry node forwards to the home node of a backend server.
 struct forward_request {
     std::string requestId;
     std::string traceparent;
@@ -35,16 +35,16 @@
     utils::server_id server;
     utils::team_id team;
     std::uint8_t priority = 0; ///< decisions::priority_class
-    std::uint64_t remainingUs = 0; ///< time left to the caller's deadline when sent
+    std::uint64_t remainingUs = 0; ///< time to the caller's deadline when sent, in microseconds
     std::uint64_t chat = 0; ///< hash of the chat, for cache placement
-    std::uint64_t revision = 0; ///< configuration under which the entry node let it in
+    std::uint64_t revision = 0; ///< configuration revision under which the entry node admitted it
     bool isIdempotent = true;
-    bool mayWait = false; ///< no candidate has room: wait in the queue instead of refusing over the bound
-    bool holdsCache = false; ///< the server holds the chat's prefix
-    bool isSuspect = false; ///< may have crashed a server: runs on one with nothing else in flight
-    bool isAnchor = false; ///< the home looks up where the chat was run last
-    std::vector<server_load> loads; ///< of the homes that had no room, so that the next knows the mean
-    std::string idempotencyKey; ///< of a request that is not idempotent
+    bool mayWait = false; ///< no candidate has capacity: queue it instead of refusing it above the bound
+    bool holdsCache = false; ///< the server's KV cache holds the chat's prefix
+    bool isSuspect = false; ///< may have crashed a server: runs on one with no other request in flight
+    bool isAnchor = false; ///< the home looks up the server that last ran the chat
+    std::vector<server_load> loads; ///< from the homes without capacity, so that the next one knows the mean
+    std::string idempotencyKey; ///< set for a request that is not idempotent
     std::string method;
     std::string target;
     std::vector<header_line> headers;
@@ -58,7 +58,7 @@
     }
 };
 
-/// Status and headers of a backend server's answer.
+/// Status and headers of a backend server's response.
 struct forward_head {
     int status = 0;
     std::vector<header_line> headers;
@@ -66,18 +66,18 @@
     template <class Archive> void serialize(Archive& archive) { archive(status, headers); }
 };
 
-/// Why there is no answer, or no more of it.
+/// Reason for a missing or truncated response.
 struct forward_failure {
     std::int32_t kind = 0; ///< utils::error_kind
     std::int32_t run = 0; ///< utils::run_state
-    std::int64_t retryAfterUs = -1; ///< -1: the table's
+    std::int64_t retryAfterUs = -1; ///< in microseconds; -1: the default from the error table
     std::string detail;
-    utils::server_id tryInstead; ///< where the anchor home sent the chat before; may be empty
-    std::uint32_t tryInsteadTokens = 0; ///< of the chat's prefix there
-    std::uint32_t load = 0; ///< of the home's server, with a refusal before any head
+    utils::server_id tryInstead; ///< server to which the anchor home sent the chat before; may be empty
+    std::uint32_t tryInsteadTokens = 0; ///< length of the chat's prefix there, in tokens
+    std::uint32_t load = 0; ///< of the home's server, in a refusal before any forward_head
     std::uint32_t slots = 1;
-    std::uint64_t crash = 0; ///< names the crash that ended the attempt; 0: none
-    bool wasAlone = false; ///< nothing else ran on the server that crashed
+    std::uint64_t crash = 0; ///< identifier of the crash that ended the attempt; 0: none
+    bool wasAlone = false; ///< no other request was in flight on the server that crashed
 
     template <class Archive> void serialize(Archive& archive)
     {
@@ -85,12 +85,12 @@
     }
 };
 
-/// What one node asks another.
+/// Type of a call between nodes.
 enum class call_kind : std::uint8_t {
     Ping = 1,
-    FetchConfiguration, ///< payload: least revision wanted; reply: encoded document
-    TeamLimit, ///< borrow from or return to the home of a calling team
-    RememberChat, ///< the anchor's home learns where a chat was run
+    FetchConfiguration, ///< payload: minimum revision; reply: encoded document
+    TeamLimit, ///< borrows from, or returns to, the limit at the home of a calling team
+    RememberChat, ///< tells the anchor's home which server ran a chat
 };
 
 /// Payload of call_kind::RememberChat.
@@ -101,6 +101,7 @@
     template <class Archive> void serialize(Archive& archive) { archive(chat, server); }
 };
 
+/// A call from one node to another.
 struct peer_call {
     std::uint8_t kind = 0;
     std::string from;
@@ -109,6 +110,7 @@
     template <class Archive> void serialize(Archive& archive) { archive(kind, from, payload); }
 };
 
+/// Reply to a peer_call.
 struct peer_reply {
     bool isOk = false;
     std::string payload;
--- a/src/libs/wire/framecipher.h
+++ b/src/libs/wire/framecipher.h
@@ -9,13 +9,13 @@
 
 namespace wire {
 
-/// Bytes of the message authentication code of a frame.
+/// Size of a frame's message authentication code (MAC), in bytes.
 constexpr std::size_t frameMacSize = 16;
 using frame_mac = std::array<unsigned char, frameMacSize>;
 
-/// Authenticates the frames of one direction of one connection. The key is made from the fleet's key and
-/// a nonce of each side, and each frame's number is part of its code: a recorded, dropped or reordered
-/// frame fails the check, so a peer can neither repeat a request nor cut an answer unnoticed.
+/// Authenticates the frames of one direction of one connection. The key is derived from the fleet's key and
+/// a nonce of each side, and the MAC covers the frame's sequence number. A replayed, dropped or reordered
+/// frame fails verification, so a request cannot be replayed and an answer cannot be truncated undetected.
 /// Not thread safe.
 class frame_cipher {
 public:
@@ -27,9 +27,9 @@
     frame_cipher(
         std::string_view fleetKey, std::string_view clientNonce, std::string_view serverNonce, direction way);
 
-    /// The code of the next frame; counts it.
+    /// The MAC of the next frame. Advances the sequence number.
     frame_mac sign(frame_type type, std::string_view payload);
-    /// Whether `mac` is the code of the next frame; counts it.
+    /// Whether `mac` is the MAC of the next frame. Advances the sequence number.
     bool verify(frame_type type, std::string_view payload, const frame_mac& mac);
 
 private:
--- a/src/libs/wire/framestream.cpp
+++ b/src/libs/wire/framestream.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t nonceSize = 16;
 constexpr std::size_t proofSize = 32;
 constexpr std::size_t headerSize = 5; // four bytes of length, one of type
-constexpr std::size_t readAhead = 4096;
+constexpr std::size_t minReadSize = 4096;
 
 std::string proof(std::string_view key, std::string_view label, std::string_view nonces)
 {
@@ -77,11 +77,11 @@
 
 asio::awaitable<bool> frame_stream::accept(const fleet_keys& keys)
 {
-    const auto greeting = co_await readRaw(nonceSize + proofSize);
-    if (!greeting)
+    const auto clientHello = co_await readRaw(nonceSize + proofSize);
+    if (!clientHello)
         co_return false;
-    const std::string clientNonce = greeting->substr(0, nonceSize);
-    const std::string clientProof = greeting->substr(nonceSize);
+    const std::string clientNonce = clientHello->substr(0, nonceSize);
+    const std::string clientProof = clientHello->substr(nonceSize);
     const auto key = std::ranges::find_if(keys, [&](const std::string& candidate) {
         return utils::equalConstantTime(proof(candidate, "client", clientNonce), clientProof);
     });
@@ -145,12 +145,12 @@
 asio::awaitable<std::optional<std::string>> frame_stream::readRaw(std::size_t size)
 {
     while (m_readBuffer.size() < size) {
-        const std::size_t have = m_readBuffer.size();
-        const std::size_t want = std::max(size - have, readAhead);
-        m_readBuffer.resize(have + want);
+        const std::size_t oldSize = m_readBuffer.size();
+        const std::size_t want = std::max(size - oldSize, minReadSize);
+        m_readBuffer.resize(oldSize + want);
         const auto [error, count]
-            = co_await m_socket.async_read_some(asio::buffer(m_readBuffer.data() + have, want), asTuple);
-        m_readBuffer.resize(have + count);
+            = co_await m_socket.async_read_some(asio::buffer(m_readBuffer.data() + oldSize, want), asTuple);
+        m_readBuffer.resize(oldSize + count);
         if (error)
             co_return std::nullopt;
     }
--- a/src/libs/wire/framestream.h
+++ b/src/libs/wire/framestream.h
@@ -14,29 +14,31 @@
 
 namespace wire {
 
-/// Keys of the fleet as read from the settings' files; the first signs, each verifies.
+/// Keys of the fleet from the key files in the settings. The first signs; all of them verify.
 using fleet_keys = std::vector<std::string>;
 
-/// An authenticated stream of frames between two nodes over one TCP connection. One request travels on it
-/// at a time, so TCP's own flow control is the backpressure from a slow caller to its engine.
+/// An authenticated stream of frames between two nodes over one TCP connection. It carries one request at a
+/// time, so that TCP flow control provides the backpressure from a slow caller to its backend server.
 /// All functions run on the socket's executor; not thread safe.
 class frame_stream {
 public:
     explicit frame_stream(boost::asio::ip::tcp::socket socket);
 
-    /// Opens the conversation as the side that connected. False when the peer does not hold the key.
+    /// Performs the handshake as the connecting side. False when the connection ended or the peer does not
+    /// hold the key.
     boost::asio::awaitable<bool> connect(const fleet_keys& keys);
-    /// Opens the conversation as the side that accepted. False when the peer does not hold a key.
+    /// Performs the handshake as the accepting side. False when the connection ended or the peer does not
+    /// hold one of the keys.
     boost::asio::awaitable<bool> accept(const fleet_keys& keys);
 
-    /// The next frame; nothing when the connection ended or the bytes fail authentication.
+    /// Reads the next frame. Returns std::nullopt when the connection ended or authentication failed.
     boost::asio::awaitable<std::optional<frame>> read();
-    /// False when the connection ended.
+    /// Writes one frame. False when the connection ended.
     boost::asio::awaitable<bool> write(frame_type type, std::string_view payload);
 
-    /// Completes once the peer has closed; never otherwise. Reads nothing.
+    /// Completes only when the peer has closed the connection. Consumes no data.
     boost::asio::awaitable<void> untilClosed();
-    /// Whether bytes failed authentication, as against a plain end.
+    /// Whether the stream ended because authentication failed, not because the connection was closed.
     bool hasFailedAuthentication() const { return m_hasFailedAuthentication; }
     void close();
 
--- a/src/libs/wire/peerkeys.cpp
+++ b/src/libs/wire/peerkeys.cpp
@@ -10,7 +10,7 @@
 
 std::string codeOf(std::string_view key, std::string_view context, std::string_view bytes)
 {
-    // The length keeps (context, bytes) apart from any other split of the same text.
+    // The length prefix makes the boundary between context and bytes unambiguous.
     std::string text = std::to_string(context.size());
     text.reserve(text.size() + 1 + context.size() + bytes.size());
     text += ':';
--- a/src/libs/wire/shortserialization.h
+++ b/src/libs/wire/shortserialization.h
@@ -10,8 +10,8 @@
 
 namespace wire::detail {
 
-/// Longest text or list of a datagram: the length is one byte, so hostile bytes cannot make the decoder
-/// allocate more than a datagram holds.
+/// Maximum length of a text or list in a datagram. The length is encoded in one byte, so malicious input
+/// cannot make the decoder allocate more than a datagram can hold.
 inline constexpr std::size_t maxShortLength = 255;
 
 template <class Archive> void saveLength(Archive& archive, std::size_t length)
@@ -49,9 +49,10 @@
     }
 }
 
-/// Longest text of a message over TCP, in bytes: a value of the platform's store and some.
+/// Maximum length of a text in a TCP message, in bytes; larger than any value of the platform's store.
 inline constexpr std::uint32_t maxLongText = 2 * 1024 * 1024;
-/// Bytes of a text that are read at once, so that a wrong length costs no more memory than the bytes there.
+/// Bytes of a text that are read at a time, so that a wrong length allocates at most one step more than the
+/// input holds.
 inline constexpr std::uint32_t longTextStep = 64 * 1024;
 
 template <class Archive> void serializeLong(Archive& archive, std::string& text)
@@ -72,7 +73,8 @@
     }
 }
 
-/// Each item is read before the next is made room for, so a wrong length ends with the bytes.
+/// Appends each item only after the previous one was read, so that a wrong length fails at the end of the
+/// input instead of allocating for it.
 template <class Archive, class Item> void serializeLong(Archive& archive, std::vector<Item>& list)
 {
     auto length = static_cast<std::uint32_t>(list.size());
--- a/src/libs/wire/socketpeek.cpp
+++ b/src/libs/wire/socketpeek.cpp
@@ -38,8 +38,8 @@
             co_return;
         if (seen == peek_result::Nothing)
             continue;
-        // Until the bytes are read the socket tells nothing more. The work beside this ends first and
-        // cancels the wait.
+        // Until the pending bytes are read, the socket cannot report a close. The concurrent work finishes
+        // first and cancels this wait.
         asio::steady_timer forever(socket.get_executor(), asio::steady_timer::time_point::max());
         co_await forever.async_wait(asTuple);
         co_return;
--- a/src/libs/wire/socketpeek.h
+++ b/src/libs/wire/socketpeek.h
@@ -5,20 +5,21 @@
 
 namespace wire {
 
-/// What lies in a socket's receive buffer.
+/// State of a socket's receive buffer.
 enum class peek_result {
-    Nothing, ///< the socket is open and silent
-    Closed, ///< the other side has closed, or the connection is broken
+    Nothing, ///< the socket is open and has no data
+    Closed, ///< the peer has closed the connection, or it is broken
     TlsAlert, ///< the first byte is that of a TLS alert, which ends a TLS connection
-    Bytes
+    Bytes ///< other data
 };
 
-/// Looks without reading. Makes the socket non-blocking, as Asio's own operations do. Not thread safe.
+/// Inspects the receive buffer without consuming data. Makes the socket non-blocking, as Asio's own
+/// operations do. Not thread safe.
 peek_result peekSocket(boost::asio::ip::tcp::socket& socket);
 
-/// Completes once the other side has closed; never otherwise, so it is run beside the work with `||`.
-/// A wait may end without cause, and bytes of a next request may have come: neither is a close, and taking
-/// one for it would cut an answer in the middle.
+/// Completes only when the peer has closed the connection or the wait is cancelled; run it concurrently with
+/// the work by `||`. A spurious wakeup and bytes of a next request are not a close: treating them as one
+/// would truncate an answer.
 boost::asio::awaitable<void> untilClosed(boost::asio::ip::tcp::socket& socket, bool isTls);
 
 } // namespace wire
--- a/src/libs/wire/varint.h
+++ b/src/libs/wire/varint.h
@@ -5,8 +5,8 @@
 
 namespace wire {
 
-/// An unsigned number in as few bytes as it needs (seven bits a byte): most numbers of a datagram are
-/// small, and at 2 KB/s a node eight bytes for each are too many.
+/// An unsigned integer in variable-length encoding with seven bits per byte. Most numbers in a datagram are
+/// small, and at 2 KB/s per node eight bytes for each are too many.
 struct varint {
     std::uint64_t value = 0;
 
@@ -24,22 +24,22 @@
     template <class Archive> void save(Archive& archive) const
     {
         std::uint64_t rest = value;
-        while (rest > lowBits) {
-            archive(static_cast<std::uint8_t>((rest & lowBits) | moreFlag));
+        while (rest > payloadMask) {
+            archive(static_cast<std::uint8_t>((rest & payloadMask) | continuationBit));
             rest >>= bitsPerByte;
         }
         archive(static_cast<std::uint8_t>(rest));
     }
 
-    /// Throws std::out_of_range when the bytes do not end within 64 bits.
+    /// Throws std::out_of_range when the encoding exceeds 64 bits.
     template <class Archive> void load(Archive& archive)
     {
         value = 0;
         for (unsigned shift = 0; shift < bits; shift += bitsPerByte) {
             std::uint8_t byte = 0;
             archive(byte);
-            value |= (byte & lowBits) << shift;
-            if ((byte & moreFlag) == 0)
+            value |= (byte & payloadMask) << shift;
+            if ((byte & continuationBit) == 0)
                 return;
         }
         throw std::out_of_range("varint");
@@ -48,8 +48,8 @@
 private:
     static constexpr unsigned bits = 64;
     static constexpr unsigned bitsPerByte = 7;
-    static constexpr std::uint64_t lowBits = 0x7f;
-    static constexpr std::uint8_t moreFlag = 0x80;
+    static constexpr std::uint64_t payloadMask = 0x7f;
+    static constexpr std::uint8_t continuationBit = 0x80;
 };
 
 } // namespace wire
--- a/tests/auto/wire/tst_acceptloop.cpp
+++ b/tests/auto/wire/tst_acceptloop.cpp
@@ -11,11 +11,11 @@
 
 BOOST_AUTO_TEST_SUITE(accept_loops)
 
-// Callers see their requests answered seconds late by a node whose own lines say some ms. Most of the fleet
-// is leaving, and new connections come in hundreds a second to one node, while hundreds of open ones have
-// something to do in each turn. Accepted one in a turn, they wait in the listener's queue, where no limit of
-// time runs.
-BOOST_AUTO_TEST_CASE(connections_do_not_wait_a_turn_each)
+// Guards against requests that are answered seconds late while the node's own log shows some ms. It happens
+// when most of the fleet is leaving: one node gets hundreds of new connections per second, while hundreds of
+// open ones have work in each iteration of the event loop. With one accept per iteration the new connections
+// wait in the listen queue, where no request timeout runs.
+BOOST_AUTO_TEST_CASE(several_connections_are_accepted_per_iteration)
 {
     constexpr unsigned callers = 64;
     constexpr unsigned busy = 100;
@@ -40,9 +40,9 @@
         boost::asio::post(io, doWork);
     while (accepted < callers)
         io.run_one();
-    const unsigned turns = work / busy;
-    BOOST_TEST_MESSAGE(callers << " connections were accepted within " << turns << " turns");
-    BOOST_TEST(turns <= callers / 4);
+    const unsigned iterations = work / busy;
+    BOOST_TEST_MESSAGE(callers << " connections were accepted within " << iterations << " iterations");
+    BOOST_TEST(iterations <= callers / 4);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/wire/tst_datagramcodec.cpp
+++ b/tests/auto/wire/tst_datagramcodec.cpp
@@ -25,7 +25,7 @@
     return message;
 }
 
-struct pair_of_nodes {
+struct node_pair {
     wire::datagram_codec sender { wire::peer_keys("key"), alpha, 10 };
     wire::datagram_codec receiver { wire::peer_keys("key"), beta, 10 };
 };
@@ -34,9 +34,9 @@
 
 BOOST_AUTO_TEST_SUITE(datagramcodec)
 
-BOOST_AUTO_TEST_CASE(a_datagram_comes_back_as_it_was)
+BOOST_AUTO_TEST_CASE(round_trip_preserves_a_datagram)
 {
-    pair_of_nodes nodes;
+    node_pair nodes;
     const auto message = nodes.receiver.decode(nodes.sender.encode(sample(), beta));
     BOOST_REQUIRE(message.has_value());
     BOOST_TEST(message->sender == alpha);
@@ -48,10 +48,10 @@
     BOOST_TEST(message->handovers.at(0).inFlight.value == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(a_rotation_of_the_key_loses_nothing)
+BOOST_AUTO_TEST_CASE(key_rotation_loses_no_datagrams)
 {
-    // The key is rotated node by node: for a while one signs with the new key, the other with the old.
-    // Both must hear each other, or the rotation would split the fleet.
+    // The key is rotated node by node: for some time one node signs with the new key and another with the
+    // old. Each must accept the other's datagrams, or the rotation would partition the fleet.
     wire::datagram_codec rotated(wire::peer_keys("new", "old"), alpha, 10);
     wire::datagram_codec notYet(wire::peer_keys("old", "new"), beta, 10);
     BOOST_TEST(notYet.decode(rotated.encode(sample(), beta)).has_value());
@@ -61,12 +61,12 @@
     BOOST_TEST(rotated.dropped(wire::drop_reason::BadCode) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_recorded_datagram_does_not_pass_again)
+BOOST_AUTO_TEST_CASE(replayed_datagram_is_dropped)
 {
-    // Someone records datagrams of alpha and sends them again: at once, after alpha restarted, and to
-    // another node. Each time the bytes carry a valid code, and each time they must be dropped, or a dead
-    // node would look alive.
-    pair_of_nodes nodes;
+    // An attacker records datagrams of alpha and replays them: at once, after a restart of alpha, and to
+    // another node. Each one has a valid authentication code and must still be dropped, or a dead node would
+    // appear alive.
+    node_pair nodes;
     const std::string recorded = nodes.sender.encode(sample(), beta);
     BOOST_TEST(nodes.receiver.decode(recorded).has_value());
     BOOST_TEST(!nodes.receiver.decode(recorded).has_value());
@@ -82,18 +82,18 @@
     BOOST_TEST(third.dropped(wire::drop_reason::BadCode) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(datagrams_that_overtake_each_other_pass)
+BOOST_AUTO_TEST_CASE(reordered_datagrams_are_accepted)
 {
-    pair_of_nodes nodes;
+    node_pair nodes;
     const std::string first = nodes.sender.encode(sample(), beta);
     const std::string second = nodes.sender.encode(sample(), beta);
     BOOST_TEST(nodes.receiver.decode(second).has_value());
     BOOST_TEST(nodes.receiver.decode(first).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_overlong_datagram_is_neither_sent_nor_taken)
+BOOST_AUTO_TEST_CASE(oversized_datagram_is_neither_sent_nor_accepted)
 {
-    pair_of_nodes nodes;
+    node_pair nodes;
     wire::datagram large = sample();
     large.digests.assign(40, { wire::digest_kind::TeamUsage, 1, { 1 }, 0, "team", std::string(40, 'x') });
     BOOST_TEST(nodes.sender.encode(large, beta).empty());
@@ -103,11 +103,11 @@
     BOOST_TEST(nodes.receiver.dropped(wire::drop_reason::TooShort) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(the_decoder_survives_any_bytes)
+BOOST_AUTO_TEST_CASE(decoder_handles_arbitrary_bytes)
 {
-    // Mutations of a valid payload reach every field of the decoder: a node with the key but another
-    // version, or a broken one, must not be able to crash its peers.
-    pair_of_nodes nodes;
+    // Mutations of a valid payload exercise every field of the decoder: a node that holds the key but runs
+    // another version, or is faulty, must not be able to crash its peers.
+    node_pair nodes;
     const std::string valid = nodes.sender.encode(sample(), beta).substr(wire::peer_keys::codeSize);
     std::mt19937 random(20261202);
     unsigned decoded = 0;
