--- a/src/libs/keyvalue/asioclock.h
+++ b/src/libs/keyvalue/asioclock.h
@@ -7,7 +7,7 @@
 
 namespace keyvalue {
 
-/// The process's monotonic clock, and waiting on it. Thread safe.
+/// The process's monotonic clock with asynchronous waits. Thread safe.
 class asio_clock {
 public:
     explicit asio_clock(boost::asio::any_io_executor executor)
--- a/src/libs/keyvalue/configaccess.h
+++ b/src/libs/keyvalue/configaccess.h
@@ -9,23 +9,23 @@
 
 namespace keyvalue {
 
-/// What reading the configuration gave.
+/// Result of reading the configuration.
 struct snapshot_reply {
     config::snapshot_pointer snapshot; ///< null if the read failed
     std::string error;
 };
 
-/// The configuration as those see it who read and change it, whatever keeps it. Not thread safe: one
-/// executor that runs one handler at a time.
+/// Interface to read and change the configuration, independent of the storage behind it. Not thread safe:
+/// use it on one executor that runs one handler at a time.
 class config_access {
 public:
     virtual ~config_access() = default;
 
-    /// The newest snapshot known here; one without revision before the first. Never null.
+    /// The newest snapshot known locally; before the first read, an empty one with revision 0. Never null.
     virtual const config::snapshot_pointer& cached() const = 0;
-    /// Reads the present configuration.
+    /// Reads the current configuration.
     virtual boost::asio::awaitable<snapshot_reply> read() = 0;
-    /// Takes a change into the configuration.
+    /// Applies a change to the configuration.
     virtual boost::asio::awaitable<config::change_outcome> change(config::change_request request) = 0;
 };
 
--- a/src/libs/keyvalue/configstore.h
+++ b/src/libs/keyvalue/configstore.h
@@ -18,7 +18,8 @@
 
 namespace keyvalue {
 
-/// Time as a change needs it; tests have a virtual one.
+/// A monotonic clock with asynchronous waits, as a change needs it for its retries and timeouts. Tests use
+/// a virtual one.
 template <class Clock>
 concept waiting_clock = requires(Clock& clock, utils::time_point until)
 {
@@ -30,14 +31,15 @@
         } -> std::same_as<boost::asio::awaitable<void>>;
 };
 
-/// The operators' configuration in the platform's service: one head, and values named by their hashes.
+/// The operators' configuration in the platform's key-value service: one head, and immutable values that are
+/// addressed by their hashes.
 ///
 ///     <prefix>config/head          revision, hash of each list of sections, short history
 ///     <prefix>config/blob/<hash>   a list or a section's text, never changed
 ///
-/// A change that nobody races costs two calls: the read of the head and one transaction. Not thread safe;
-/// several changes may run at once on one executor. Preconditions: the key-value client, clock and chart
-/// outlive this.
+/// A change without a concurrent writer costs two calls: the read of the head and one transaction. Not thread
+/// safe; several changes may run concurrently on one executor. Preconditions: the key-value client, the clock
+/// and the state chart outlive this object.
 template <key_value Store, waiting_clock Clock> class config_store final : public config_access {
 public:
     config_store(Store& store, Clock& clock, std::string prefix, const utils::state_chart& chart,
@@ -50,24 +52,28 @@
     {
     }
 
-    /// The key that a watch follows.
+    /// Key of the head, for a watch on configuration changes.
     std::string headKey() const { return m_prefix + "head"; }
-    /// The newest snapshot read, accepted or handed over; one without revision before the first.
+    /// The newest snapshot that was read, written or passed to offer(); before that, an empty one with
+    /// revision 0.
     const config::snapshot_pointer& cached() const override { return m_cached; }
-    /// Takes a snapshot that came from a peer, so that the next read fetches only what is newer.
+    /// Caches a snapshot received from a peer if it is newer, so that the next read fetches only later
+    /// changes.
     void offer(const config::snapshot_pointer& snapshot)
     {
         if (snapshot && snapshot->head.revision > m_cached->head.revision)
             m_cached = snapshot;
     }
 
-    /// Reads the present configuration: one call if the head has not moved, else two or three more, and a
-    /// page for each 100 values that changed.
+    /// Reads the current configuration: one call if the head is unchanged, otherwise two or three more, and
+    /// one page for each 100 changed values.
     boost::asio::awaitable<snapshot_reply> read() override
     {
-        constexpr int tries = 5; // a change between two calls deletes values that the older head names
+        // A concurrent change may delete values that the head read before it refers to; the read then
+        // restarts.
+        constexpr int maxAttempts = 5;
         snapshot_reply reply;
-        for (int i = 0; i < tries; ++i) {
+        for (int i = 0; i < maxAttempts; ++i) {
             const kv_reply head = co_await m_store->get(keyOf(headKey()));
             if (head.status != kv_status::Done)
                 co_return snapshot_reply { nullptr, "reading the head: " + head.error };
@@ -80,53 +86,53 @@
         co_return reply;
     }
 
-    /// Takes a change into the head, see config::config_change.
+    /// Applies a change to the head, see config::config_change.
     boost::asio::awaitable<config::change_outcome> change(config::change_request request) override
     {
-        config::config_change machine(*m_chart, m_settings, std::move(request));
-        config::change_actions actions = machine.start(m_clock->now());
+        config::config_change stateMachine(*m_chart, m_settings, std::move(request));
+        config::change_actions actions = stateMachine.start(m_clock->now());
         while (!actions.empty()) {
             if (auto* finished = std::get_if<config::finish_change>(&actions.front()))
                 co_return std::move(finished->outcome);
-            actions = co_await carryOut(machine, actions.front());
+            actions = co_await perform(stateMachine, actions.front());
         }
         co_return config::change_outcome {};
     }
 
 private:
-    /// Values read or written with one call, under the service's 128 operations of a transaction.
-    static constexpr std::size_t pageCount = 100;
-    /// Bytes written with one call, under the service's 1.5 MB of a request even in base64.
-    static constexpr std::size_t pageBytes = 512UL * 1024;
+    /// Values read or written with one call; the service allows 128 operations in a transaction.
+    static constexpr std::size_t maxPageOperations = 100;
+    /// Bytes written with one call; stays below the service's limit of 1.5 MB for a request even in base64.
+    static constexpr std::size_t maxPageBytes = 512UL * 1024;
 
     static kv_get keyOf(std::string key) { return { std::move(key), {}, 0 }; }
     std::string blobKey(const std::string& hash) const { return m_prefix + "blob/" + hash; }
 
-    boost::asio::awaitable<config::change_actions> carryOut(
-        config::config_change& machine, const config::change_action& action)
+    boost::asio::awaitable<config::change_actions> perform(
+        config::config_change& stateMachine, const config::change_action& action)
     {
         if (const auto* wait = std::get_if<config::wait_until>(&action)) {
             co_await m_clock->waitUntil(wait->at);
-            co_return machine.onTimer(m_clock->now());
+            co_return stateMachine.onTimer(m_clock->now());
         }
         if (const auto* write = std::get_if<config::write_plan>(&action)) {
             const config::write_outcome outcome = co_await writePlan(write->plan);
-            co_return machine.onWritten(outcome, m_clock->now());
+            co_return stateMachine.onWritten(outcome, m_clock->now());
         }
         const snapshot_reply reply = co_await read();
         if (!reply.snapshot)
-            co_return machine.onReadFailed(m_clock->now());
-        co_return machine.onSnapshot(reply.snapshot, m_clock->now());
+            co_return stateMachine.onReadFailed(m_clock->now());
+        co_return stateMachine.onSnapshot(reply.snapshot, m_clock->now());
     }
 
-    /// The values go first, since a head must not name what is not there; all but the last page in calls of
-    /// their own, which harm nobody when the head then stands elsewhere.
+    /// Writes the values before the head, since a head must not refer to missing values. All pages but the
+    /// last are separate calls; if the head has changed by then, they only leave unreferenced values.
     boost::asio::awaitable<config::write_outcome> writePlan(const config::planned_change& plan)
     {
         kv_transaction page;
         std::size_t bytes = 0;
         for (const auto& [hash, text] : plan.puts) {
-            if (page.onSuccess.size() >= pageCount || bytes + text.size() > pageBytes) {
+            if (page.onSuccess.size() >= maxPageOperations || bytes + text.size() > maxPageBytes) {
                 const kv_reply reply = co_await m_store->transact(page);
                 if (reply.status != kv_status::Done)
                     co_return config::write_outcome::NotSent;
@@ -151,17 +157,19 @@
         co_return config::write_outcome::Written;
     }
 
-    /// Deletes what fits into the transaction; the rest stays as garbage, which a large change leaves.
+    /// Adds as many deletes as fit into the transaction. After a large change the remaining unreferenced
+    /// values stay in the store.
     void appendDeletes(const config::planned_change& plan, kv_transaction& into) const
     {
         for (const std::string& hash : plan.deletes) {
-            if (into.onSuccess.size() > pageCount)
+            if (into.onSuccess.size() > maxPageOperations)
                 return;
             into.onSuccess.push_back(kv_delete { blobKey(hash) });
         }
     }
 
-    /// The snapshot of that head, on top of the cached one. Null when a value is missing.
+    /// Builds the snapshot of the head in `entry` from the cached one and the changed values. Null when a
+    /// value is missing.
     boost::asio::awaitable<snapshot_reply> readFrom(const kv_entry& entry)
     {
         if (entry.modRevision == m_cached->headModRevision)
@@ -169,7 +177,7 @@
         const std::optional<config::config_head> head = config::decodeHead(entry.value);
         if (!head)
             co_return snapshot_reply { nullptr, "the head cannot be read" };
-        // A service that was set up anew has a head that does not follow from the cached one.
+        // If the service was set up again, its head is no successor of the cached one: read all values.
         const bool isOlder = head->revision <= m_cached->head.revision;
         const config::snapshot_pointer base
             = isOlder ? std::make_shared<const config::config_snapshot>() : m_cached;
@@ -197,7 +205,8 @@
         co_return snapshot_reply { std::move(snapshot), {} };
     }
 
-    /// Notes each section that the lists read name otherwise than the base does; the hashes to read.
+    /// Appends to `delta` each section whose entry in `lists` differs from that in `base`. Returns the hashes
+    /// of the section texts to read.
     static std::vector<std::string> addUpdates(const std::map<std::string, std::string>& lists,
         const config::config_snapshot& base, config::snapshot_delta& delta)
     {
@@ -218,13 +227,15 @@
         return hashes;
     }
 
+    /// Reads the values of `hashes` into `into`, one page per call. False, with `error` set, when a call
+    /// fails or a value is missing.
     boost::asio::awaitable<bool> readBlobs(
         const std::vector<std::string>& hashes, std::map<std::string, std::string>& into, std::string& error)
     {
         const std::size_t keyStart = blobKey({}).size();
-        for (std::size_t first = 0; first < hashes.size(); first += pageCount) {
+        for (std::size_t first = 0; first < hashes.size(); first += maxPageOperations) {
             kv_transaction page;
-            const std::size_t end = std::min(first + pageCount, hashes.size());
+            const std::size_t end = std::min(first + maxPageOperations, hashes.size());
             for (std::size_t i = first; i < end; ++i)
                 page.onSuccess.push_back(keyOf(blobKey(hashes[i])));
             const kv_reply reply = co_await m_store->transact(page);
--- a/src/libs/keyvalue/keyvalue.h
+++ b/src/libs/keyvalue/keyvalue.h
@@ -8,9 +8,9 @@
 
 namespace keyvalue {
 
-/// What code above needs of the platform's key-value service; kv_client has it, and so have the fakes of
-/// the tests. A reply of kv_status::Unknown to a transaction that writes leaves open whether it took, or
-/// will yet take, effect: the caller reads back and compares.
+/// Operations of the platform's key-value service. Modelled by kv_client and by the fakes of the tests. After
+/// a reply of kv_status::Unknown a writing transaction may have taken effect or may do so later: the caller
+/// reads the keys back and compares.
 template <class Store>
 concept key_value = requires(Store& store, const kv_transaction& transaction, const kv_get& range)
 {
--- a/src/libs/keyvalue/kvclient.cpp
+++ b/src/libs/keyvalue/kvclient.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-/// Idle connections kept for the next call; more calls at once open connections of their own.
-constexpr std::size_t mostIdle = 16;
+/// Idle connections kept for reuse; further concurrent calls open new connections.
+constexpr std::size_t maxIdleConnections = 16;
 
 constexpr unsigned httpOk = 200;
 constexpr unsigned httpNotFound = 404;
 constexpr unsigned httpRequestTimeout = 408;
 constexpr unsigned httpServerErrors = 500;
 
-/// The gateway answers 4xx for what it refuses before it runs it (bad request, no space, too many
-/// requests). 408 is a call cancelled on the way, and 5xx covers a leader that lost touch after it took
-/// the write: both leave the outcome open.
+/// The gateway answers 4xx for a request that it rejects before execution (bad request, no space, too many
+/// requests). 408 is a call cancelled in flight, and 5xx includes a leader that became disconnected after
+/// it accepted the write: in both cases the outcome is unknown.
 kv_status statusOfRefusal(unsigned httpStatus)
 {
     const bool isRefused = httpStatus < httpServerErrors && httpStatus != httpRequestTimeout;
     return isRefused ? kv_status::NotSent : kv_status::Unknown;
 }
 
-/// Turns an HTTP error into its status; the body of a good answer stays for the decoder.
-kv_http_answer judged(kv_http_answer answer)
+/// Maps an HTTP error to its kv_status and error text; a successful answer is returned unchanged.
+kv_http_answer classified(kv_http_answer answer)
 {
     if (answer.status != kv_status::Done || answer.httpStatus == httpOk)
         return answer;
@@ -71,50 +71,49 @@
 asio::awaitable<kv_reply> kv_client::transact(const kv_transaction& transaction)
 {
     const kv_http_answer answer
-        = co_await call("/v3/kv/txn", encodeTransaction(transaction), repeat_rule::OnlyIfNotSent);
+        = co_await call("/v3/kv/txn", encodeTransaction(transaction), retry_rule::OnlyIfNotSent);
     co_return replyFrom(answer, decodeTransaction);
 }
 
 asio::awaitable<kv_reply> kv_client::get(const kv_get& range)
 {
-    const kv_http_answer answer = co_await call("/v3/kv/range", encodeRange(range), repeat_rule::Harmless);
+    const kv_http_answer answer = co_await call("/v3/kv/range", encodeRange(range), retry_rule::Always);
     co_return replyFrom(answer, decodeRange);
 }
 
 asio::awaitable<kv_lease_reply> kv_client::grantLease(std::int64_t ttlSeconds)
 {
     const kv_http_answer answer
-        = co_await call("/v3/lease/grant", encodeLeaseGrant(ttlSeconds), repeat_rule::OnlyIfNotSent);
+        = co_await call("/v3/lease/grant", encodeLeaseGrant(ttlSeconds), retry_rule::OnlyIfNotSent);
     co_return leaseFrom(answer, decodeLeaseGrant);
 }
 
 asio::awaitable<kv_lease_reply> kv_client::keepLease(std::int64_t id)
 {
-    const kv_http_answer answer
-        = co_await call("/v3/lease/keepalive", encodeLeaseId(id), repeat_rule::Harmless);
+    const kv_http_answer answer = co_await call("/v3/lease/keepalive", encodeLeaseId(id), retry_rule::Always);
     co_return leaseFrom(answer, decodeLeaseKeep);
 }
 
 asio::awaitable<kv_lease_reply> kv_client::revokeLease(std::int64_t id)
 {
-    const kv_http_answer answer = co_await call("/v3/lease/revoke", encodeLeaseId(id), repeat_rule::Harmless);
+    const kv_http_answer answer = co_await call("/v3/lease/revoke", encodeLeaseId(id), retry_rule::Always);
     const bool isGone = answer.status == kv_status::Done || answer.httpStatus == httpNotFound;
     co_return kv_lease_reply { isGone ? kv_status::Done : answer.status, id, 0 };
 }
 
-asio::awaitable<kv_http_answer> kv_client::call(std::string target, std::string body, repeat_rule rule)
+asio::awaitable<kv_http_answer> kv_client::call(std::string target, std::string body, retry_rule rule)
 {
     kv_http_answer answer;
     const std::size_t first = m_preferred;
     for (std::size_t i = 0; i < m_endpoints.size(); ++i) {
         const std::size_t endpoint = (first + i) % m_endpoints.size();
-        answer = judged(co_await attempt(endpoint, target, body));
+        answer = classified(co_await attempt(endpoint, target, body));
         const bool isAnswered = answer.status == kv_status::Done || answer.httpStatus != 0;
         if (isAnswered) {
             m_preferred = endpoint;
             break;
         }
-        if (answer.status == kv_status::Unknown && rule == repeat_rule::OnlyIfNotSent)
+        if (answer.status == kv_status::Unknown && rule == retry_rule::OnlyIfNotSent)
             break;
     }
     count(answer);
@@ -132,7 +131,7 @@
             co_return refused;
     }
     kv_http_answer answer = co_await connection->post(target, body, m_timeout);
-    giveBack(std::move(connection));
+    returnIdle(std::move(connection));
     co_return answer;
 }
 
@@ -149,9 +148,9 @@
     return nullptr;
 }
 
-void kv_client::giveBack(std::unique_ptr<kv_connection> connection)
+void kv_client::returnIdle(std::unique_ptr<kv_connection> connection)
 {
-    if (m_idle.size() < mostIdle && connection->isUsable())
+    if (m_idle.size() < maxIdleConnections && connection->isUsable())
         m_idle.push_back(std::move(connection));
 }
 
--- a/src/libs/keyvalue/kvconnection.cpp
+++ b/src/libs/keyvalue/kvconnection.cpp
@@ -16,8 +16,8 @@
 
 namespace {
 
-/// A range over the sections of a whole configuration comes in one answer.
-constexpr std::uint64_t longestAnswer = 64ULL * 1024 * 1024;
+/// Large enough for a range read over all sections of a configuration, which is one answer.
+constexpr std::uint64_t maxAnswerBytes = 64ULL * 1024 * 1024;
 
 std::string hostText(const asio::ip::tcp::endpoint& endpoint)
 {
@@ -58,13 +58,13 @@
     m_stream.expires_after(timeout);
     m_isBroken = true;
     co_await http::async_write(m_stream, request, asio::redirect_error(asio::use_awaitable, code));
-    // A write that failed left bytes of the request behind in this process; the service acts on whole
-    // requests only, so this one has no effect.
+    // After a failed write part of the request is still unsent. The service executes only complete requests,
+    // so this one has no effect.
     if (code)
         co_return kv_http_answer { kv_status::NotSent, 0, {}, "send: " + code.message() };
 
     http::response_parser<http::string_body> parser;
-    parser.body_limit(longestAnswer);
+    parser.body_limit(maxAnswerBytes);
     co_await http::async_read(m_stream, m_buffer, parser, asio::redirect_error(asio::use_awaitable, code));
     if (code)
         co_return kv_http_answer { kv_status::Unknown, 0, {}, "answer: " + code.message() };
@@ -77,8 +77,8 @@
 {
     if (m_isBroken)
         return false;
-    // A service that closed the idle connection would take the next request and answer nothing, which
-    // would make a write's outcome unknown for no need. Seen here, the request goes on a new connection.
+    // If the service has closed the idle connection, a request sent on it gets no answer, and the outcome of
+    // a write would be unknown without need. Detected here, the request uses a new connection.
     char byte = 0;
     const ssize_t got = ::recv(m_stream.socket().native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
--- a/src/libs/keyvalue/kvconnection.h
+++ b/src/libs/keyvalue/kvconnection.h
@@ -13,7 +13,7 @@
 
 namespace keyvalue {
 
-/// Answer to one POST.
+/// Result of one POST request.
 struct kv_http_answer {
     kv_status status = kv_status::NotSent;
     unsigned httpStatus = 0;
@@ -26,10 +26,11 @@
 public:
     kv_connection(const boost::asio::any_io_executor& executor, boost::asio::ip::tcp::endpoint endpoint);
 
-    /// Connects within `timeout`. False with the reason in `error`.
+    /// Connects within `timeout`. Returns false, with the reason in `error`, on failure.
     boost::asio::awaitable<bool> open(utils::duration timeout, std::string& error);
     /// Sends one request and reads the whole answer within `timeout`. NotSent when the service cannot have
-    /// the whole request, Unknown once it may have. Precondition: open() was true, isUsable() is true.
+    /// received the whole request, Unknown once it may have. Preconditions: open() returned true, and
+    /// isUsable() returns true.
     boost::asio::awaitable<kv_http_answer> post(
         const std::string& target, const std::string& body, utils::duration timeout);
     /// Whether the connection can carry another request: neither failed nor closed by the service.
--- a/src/libs/keyvalue/kvjson.cpp
+++ b/src/libs/keyvalue/kvjson.cpp
@@ -65,7 +65,7 @@
     return std::move(parsed.as_object());
 }
 
-/// A 64-bit number, which the gateway writes as text; 0 when absent.
+/// A 64-bit number, which the gateway writes as a string; 0 when absent.
 std::int64_t number(const json::object& from, std::string_view key)
 {
     const json::value* value = from.if_contains(key);
@@ -129,8 +129,8 @@
     }
 }
 
-/// The revision in the header; a body without one is not the gateway's, and to take it for an answer
-/// would turn a proxy's error page into "the compares failed".
+/// The revision in the header. A body without a header does not come from the gateway; accepting it would
+/// interpret the error page of a proxy as a transaction whose compares failed.
 std::optional<std::int64_t> headerRevision(const json::object& body)
 {
     const json::object* header = objectIn(body, "header");
@@ -263,12 +263,12 @@
 
 std::string decodeError(std::string_view body)
 {
-    constexpr std::size_t longest = 200;
+    constexpr std::size_t maxLength = 200;
     const std::optional<json::object> parsed = parseObject(body);
     const json::value* message = parsed ? parsed->if_contains("message") : nullptr;
     if (message != nullptr && message->is_string())
         return std::string(message->as_string());
-    return std::string(body.substr(0, longest));
+    return std::string(body.substr(0, maxLength));
 }
 
 std::string prefixEnd(std::string prefix)
@@ -277,7 +277,7 @@
     while (!prefix.empty() && prefix.back() == highest)
         prefix.pop_back();
     if (prefix.empty())
-        return std::string(1, '\0'); // to the service: every key from here on
+        return std::string(1, '\0'); // the service reads this end as: no upper bound
     prefix.back() = static_cast<char>(prefix.back() + 1);
     return prefix;
 }
--- a/src/libs/keyvalue/kvtypes.h
+++ b/src/libs/keyvalue/kvtypes.h
@@ -8,7 +8,7 @@
 
 namespace keyvalue {
 
-/// One key of the platform's key-value service, as etcd v3 describes it.
+/// A key with its value and metadata in the platform's key-value service, as in etcd v3.
 struct kv_entry {
     std::string key;
     std::string value;
@@ -41,49 +41,49 @@
 
 using kv_operation = std::variant<kv_put, kv_delete, kv_get>;
 
-/// If all compares hold, `onSuccess` runs as one, else `onFailure`.
+/// Runs `onSuccess` atomically if all compares hold, otherwise `onFailure`.
 struct kv_transaction {
     std::vector<kv_compare> compares;
     std::vector<kv_operation> onSuccess;
     std::vector<kv_operation> onFailure;
 };
 
-/// What is known about a call.
+/// Outcome of a call, as far as the client knows it.
 enum class kv_status {
-    Done, ///< answered
-    NotSent, ///< surely without effect: no connection, or refused
-    Unknown ///< sent, no answer: a write may have taken effect, now or later
+    Done, ///< the service executed the call and answered
+    NotSent, ///< without effect: no connection, or rejected by the service
+    Unknown ///< sent but not answered: a write may have taken effect or may do so later
 };
 
 /// Answer to a transaction or a read.
 struct kv_reply {
     kv_status status = kv_status::NotSent;
     bool succeeded = false; ///< the compares held
-    std::int64_t revision = 0; ///< the service's revision at the answer
-    std::vector<kv_entry> entries; ///< what the gets of the branch that ran have found
+    std::int64_t revision = 0; ///< revision of the store when the service answered
+    std::vector<kv_entry> entries; ///< found by the kv_get operations of the branch that ran
     std::string error; ///< for the log, when status is not Done
 };
 
-/// Answer to granting or keeping a lease.
+/// Answer to granting, renewing or revoking a lease.
 struct kv_lease_reply {
     kv_status status = kv_status::NotSent;
     std::int64_t id = 0;
-    std::int64_t ttlSeconds = 0; ///< 0: the lease is gone
+    std::int64_t ttlSeconds = 0; ///< 0: the lease does not exist any more
 };
 
-/// One change that a watch reports.
+/// One change reported by a watch.
 struct kv_event {
     bool isDelete = false;
     kv_entry entry; ///< for a delete: key and modRevision only
 };
 
-/// What a watch reports at once.
+/// Changes that a watch reports in one message.
 struct kv_watch_batch {
-    std::int64_t revision = 0; ///< the service's revision at the report
+    std::int64_t revision = 0; ///< revision of the store at the time of the report
     std::vector<kv_event> events;
-    /// Not 0: revisions up to this one are gone, so changes were missed; read the keys anew.
+    /// Not 0: older revisions are compacted, so changes may have been missed; read the keys again.
     std::int64_t compactedTo = 0;
-    bool isCancelled = false; ///< the service or the owner ended the watch
+    bool isCancelled = false; ///< the service or the caller cancelled the watch
 };
 
 } // namespace keyvalue
--- a/src/libs/keyvalue/kvwatch.cpp
+++ b/src/libs/keyvalue/kvwatch.cpp
@@ -16,13 +16,13 @@
 
 namespace {
 
-constexpr utils::duration firstPause = std::chrono::milliseconds(50);
-/// Doubling stops here: 50 ms * 2^6 = 3.2 s, well within the time in which a change has to be in force
-/// once the service is back.
-constexpr unsigned mostDoublings = 6;
-/// One report may carry a few values of a megabyte in base64; more is not the service's.
-constexpr std::size_t longestMessage = 16UL * 1024 * 1024;
-constexpr std::size_t readSize = 16UL * 1024;
+constexpr utils::duration initialBackoff = std::chrono::milliseconds(50);
+/// Limits the backoff to 50 ms * 2^6 = 3.2 s, well within the time in which a change has to be in force once
+/// the service is available again.
+constexpr unsigned maxBackoffDoublings = 6;
+/// A report may contain a few values of a megabyte in base64; the service sends nothing larger.
+constexpr std::size_t maxMessageBytes = 16UL * 1024 * 1024;
+constexpr std::size_t readBytes = 16UL * 1024;
 
 } // namespace
 
@@ -31,7 +31,7 @@
     : m_executor(std::move(executor))
     , m_endpoints(std::move(endpoints))
     , m_options(std::move(options))
-    , m_pause(m_executor)
+    , m_backoffTimer(m_executor)
 {
 }
 
@@ -39,13 +39,13 @@
 {
     while (!m_isCancelled) {
         if (const std::optional<std::string> line = takeLine()) {
-            if (const std::optional<kv_watch_batch> batch = accept(*line))
+            if (const std::optional<kv_watch_batch> batch = handleMessage(*line))
                 co_return *batch;
             continue;
         }
-        const bool isStanding = isConnected() ? co_await readSome() : co_await connect();
-        if (!isStanding && !m_isCancelled)
-            co_await pause();
+        const bool isStreaming = isConnected() ? co_await readSome() : co_await connect();
+        if (!isStreaming && !m_isCancelled)
+            co_await backOff();
     }
     kv_watch_batch ended;
     ended.isCancelled = true;
@@ -55,7 +55,7 @@
 void kv_watch::cancel()
 {
     m_isCancelled = true;
-    m_pause.cancel();
+    m_backoffTimer.cancel();
     if (m_stream)
         m_stream->cancel();
 }
@@ -91,9 +91,9 @@
 
 asio::awaitable<bool> kv_watch::readSome()
 {
-    if (m_parser->is_done() || m_received.size() > longestMessage)
+    if (m_parser->is_done() || m_received.size() > maxMessageBytes)
         co_return false;
-    m_chunk.resize(readSize);
+    m_chunk.resize(readBytes);
     m_parser->get().body().data = m_chunk.data();
     m_parser->get().body().size = m_chunk.size();
     m_stream->expires_after(m_options.silence);
@@ -106,14 +106,14 @@
     co_return true;
 }
 
-asio::awaitable<void> kv_watch::pause()
+asio::awaitable<void> kv_watch::backOff()
 {
     disconnect();
     m_endpoint = (m_endpoint + 1) % m_endpoints.size();
-    m_pause.expires_after(firstPause * (1U << std::min(m_failures, mostDoublings)));
+    m_backoffTimer.expires_after(initialBackoff * (1U << std::min(m_failures, maxBackoffDoublings)));
     ++m_failures;
     boost::system::error_code ignored;
-    co_await m_pause.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
+    co_await m_backoffTimer.async_wait(asio::redirect_error(asio::use_awaitable, ignored));
 }
 
 void kv_watch::disconnect()
@@ -121,7 +121,7 @@
     m_parser.reset();
     m_stream.reset();
     m_buffer.clear();
-    m_received.clear(); // half a message: the new stream reports it whole
+    m_received.clear(); // a partial message; the new stream reports it in full
 }
 
 std::optional<std::string> kv_watch::takeLine()
@@ -134,7 +134,7 @@
     return line;
 }
 
-std::optional<kv_watch_batch> kv_watch::accept(const std::string& line)
+std::optional<kv_watch_batch> kv_watch::handleMessage(const std::string& line)
 {
     std::optional<kv_watch_batch> batch = decodeWatch(line);
     if (!batch)
@@ -151,8 +151,8 @@
         return std::nullopt;
     }
     if (batch->events.empty()) {
-        // The report that opens a stream carries the service's revision of now, older changes follow it.
-        // Only a watch that began "from now on" may start there after a break.
+        // The first report of a stream has the current revision of the store; older changes follow it. Only a
+        // watch that started without a revision may resume from there after a reconnect.
         if (m_options.fromRevision == 0)
             m_options.fromRevision = batch->revision + 1;
         return std::nullopt;
--- a/src/libs/keyvalue/kvwatch.h
+++ b/src/libs/keyvalue/kvwatch.h
@@ -20,31 +20,31 @@
 
 namespace keyvalue {
 
-/// Which keys a watch follows and how patiently.
+/// Keys and timeouts of a watch.
 struct kv_watch_options {
     std::string key;
     std::string rangeEnd; ///< empty: this key only
     std::int64_t fromRevision = 0; ///< first revision to report; 0: from now on
     utils::duration connectTimeout = std::chrono::seconds(2);
-    /// A stream that is silent for so long is opened anew: a service that was paused or lost its machine
-    /// leaves the connection open, and a quiet stream looks the same as a dead one.
+    /// Idle time after which the stream is reopened: a service that is paused or whose VM is lost leaves the
+    /// connection open, and a stream without changes cannot be told from a dead one.
     utils::duration silence = std::chrono::seconds(30);
 };
 
-/// Follows changes of some keys. A broken stream is opened anew on the next endpoint after a growing
-/// pause, from the revision after the last one seen, so that no change is missed or reported twice.
-/// Not thread safe: one executor, one next() at a time.
+/// Watches a key or range for changes. A broken stream is reopened on the next endpoint with exponential
+/// backoff, from the revision after the last one seen, so that no change is missed or reported twice.
+/// Not thread safe: use it on one executor, with one next() at a time.
 class kv_watch {
 public:
     kv_watch(boost::asio::any_io_executor executor, std::vector<boost::asio::ip::tcp::endpoint> endpoints,
         kv_watch_options options);
 
-    /// Waits for the next changes, however long the service is away. `compactedTo` is set once if changes
-    /// were missed; `isCancelled` only after cancel().
+    /// Waits for the next changes, without a time limit while the service is unavailable. `compactedTo` is
+    /// set in one batch if changes may have been missed; `isCancelled` only after cancel().
     boost::asio::awaitable<kv_watch_batch> next();
-    /// Ends a waiting next() and all later ones.
+    /// Completes a pending next() and all later ones with `isCancelled`.
     void cancel();
-    /// Whether the stream stands, for /readyz and metrics.
+    /// Whether the stream is established, for /readyz and metrics.
     bool isConnected() const { return m_parser != nullptr; }
 
 private:
@@ -52,15 +52,17 @@
 
     boost::asio::awaitable<bool> connect();
     boost::asio::awaitable<bool> readSome();
-    boost::asio::awaitable<void> pause();
+    boost::asio::awaitable<void> backOff();
     void disconnect();
     std::optional<std::string> takeLine();
-    std::optional<kv_watch_batch> accept(const std::string& line);
+    /// Decodes one message and advances the revision to resume from. Nothing when there is no change to
+    /// report.
+    std::optional<kv_watch_batch> handleMessage(const std::string& line);
 
     boost::asio::any_io_executor m_executor;
     std::vector<boost::asio::ip::tcp::endpoint> m_endpoints;
     kv_watch_options m_options;
-    boost::asio::steady_timer m_pause;
+    boost::asio::steady_timer m_backoffTimer;
     std::unique_ptr<boost::beast::tcp_stream> m_stream;
     std::unique_ptr<stream_parser> m_parser;
     boost::beast::flat_buffer m_buffer;
--- a/tests/auto/keyvalue/configfixture.h
+++ b/tests/auto/keyvalue/configfixture.h
@@ -14,8 +14,8 @@
 
 using test_store = keyvalue::config_store<scripted_kv, virtual_clock>;
 
-/// A service with the configuration of two teams and two pools, each with an owner of its own, and a store
-/// as one node has it.
+/// An in-process key-value service with a configuration of two calling teams with different owners and one
+/// pool, and the configuration store of one node.
 struct config_fixture {
     config_fixture()
     {
@@ -45,7 +45,7 @@
     }
 
     /// A request that sets the team's weight.
-    config::change_request weightOf(
+    config::change_request weightRequest(
         const std::string& key, const std::string& team, double weight, utils::config_revision base)
     {
         config::calling_team changed = store.cached()->whole->teams.at(utils::team_id(team));
@@ -63,7 +63,7 @@
         return outcome;
     }
 
-    /// Starts a change whose outcome is there after run().
+    /// Starts a change; run() completes it and sets `into`.
     void spawn(test_store& by, const config::change_request& request, config::change_outcome& into)
     {
         boost::asio::co_spawn(context, by.change(request),
@@ -80,7 +80,7 @@
         context.restart();
     }
 
-    /// What a node that starts now reads; without faults.
+    /// The snapshot that a newly started node reads. Clears pending read faults.
     config::snapshot_pointer readAnew()
     {
         kv.readFaults.clear();
--- a/tests/auto/keyvalue/scriptedkv.h
+++ b/tests/auto/keyvalue/scriptedkv.h
@@ -14,16 +14,16 @@
 #include <optional>
 #include <vector>
 
-/// What a scripted service does with one call.
+/// Fault that the scripted service injects into one call.
 enum class kv_fault {
     None,
-    NotSent, ///< refused
-    LostAnswer, ///< takes effect, the caller hears nothing
-    LostRequest, ///< never takes effect, the caller hears nothing
-    Late ///< takes effect at applyLate(), the caller hears nothing
+    NotSent, ///< rejected without effect
+    LostAnswer, ///< takes effect, but the caller gets no answer
+    LostRequest, ///< never takes effect, and the caller gets no answer
+    Late ///< takes effect at applyLate(), and the caller gets no answer
 };
 
-/// Virtual time: waiting advances it at once.
+/// A virtual clock: waitUntil() advances the time immediately.
 class virtual_clock {
 public:
     utils::time_point now() const { return m_now; }
@@ -37,8 +37,8 @@
     utils::time_point m_now;
 };
 
-/// A key-value service in the process: each call is one step in which other coroutines may run, and takes
-/// the fault that the test has set for it. Not thread safe.
+/// An in-process key-value service. Each call suspends once, so that other coroutines may run, and consumes
+/// the next fault that the test has queued. Not thread safe.
 class scripted_kv {
 public:
     explicit scripted_kv(boost::asio::any_io_executor executor)
@@ -77,7 +77,7 @@
     boost::asio::awaitable<keyvalue::kv_lease_reply> keepLease(std::int64_t) { co_return gone(); }
     boost::asio::awaitable<keyvalue::kv_lease_reply> revokeLease(std::int64_t) { co_return gone(); }
 
-    /// The writes that were late take effect now, as far as their compares hold.
+    /// Applies the delayed writes whose compares still hold.
     void applyLate()
     {
         for (const keyvalue::kv_transaction& transaction : std::exchange(m_late, {}))
@@ -85,9 +85,9 @@
     }
 
     kvstandin::kv_store store;
-    std::deque<kv_fault> writeFaults; ///< of the writes to come
-    std::deque<kv_fault> readFaults; ///< of the reads to come
-    std::function<void()> onRead; ///< called before each single get takes place
+    std::deque<kv_fault> writeFaults; ///< faults of the next writes, in order
+    std::deque<kv_fault> readFaults; ///< faults of the next reads, in order
+    std::function<void()> onRead; ///< called before each get() is executed
     unsigned calls = 0;
 
 private:
--- a/tests/auto/keyvalue/tst_configoverhttp.cpp
+++ b/tests/auto/keyvalue/tst_configoverhttp.cpp
@@ -19,7 +19,7 @@
 
 constexpr auto callTimeout = std::chrono::milliseconds(200);
 
-/// A node's configuration store over real connections to the stand-in, with the sample document applied.
+/// A node's configuration store, connected by HTTP to the stand-in service, with the sample document applied.
 struct http_fixture {
     http_fixture()
     {
@@ -43,7 +43,7 @@
         return request;
     }
 
-    /// Approves the team that the sample leaves out.
+    /// Approves the calling team that is not approved in the sample.
     config::change_outcome approve()
     {
         config::change_request request = makeRequest("approve", 1);
@@ -67,8 +67,8 @@
         return outcome;
     }
 
-    /// The change stands in the head once, at revision 2.
-    void checkMadeOnce()
+    /// Checks that the change is in the head's history and that it made the only new revision.
+    void checkAppliedOnce()
     {
         const auto entries = server.store().get({ store.headKey(), {}, 0 }).entries;
         BOOST_TEST_REQUIRE(entries.size() == 1u);
@@ -95,16 +95,17 @@
 
 BOOST_AUTO_TEST_CASE(lost_answer_is_found_in_the_history)
 {
-    // The service makes the change and the connection breaks before the answer: the operator hears
-    // "accepted", and the change is made once.
+    // The service applies the change, and the connection breaks before the answer. The outcome must be
+    // Accepted, and the change must be applied once.
     server.faults().dropAnswers = 1;
     BOOST_TEST((approve().verdict == config::change_verdict::Accepted));
-    checkMadeOnce();
+    checkAppliedOnce();
 }
 
-BOOST_AUTO_TEST_CASE(write_that_arrives_late_and_its_repetition_make_one_change)
+BOOST_AUTO_TEST_CASE(delayed_write_and_its_retry_make_one_change)
 {
-    // The connection breaks, nothing is seen of the write, so it is repeated; then the first one arrives.
+    // The connection breaks before the write has an effect, so the write is retried. Then the first write
+    // arrives; it must not apply the change a second time.
     server.faults().lateWrites = 1;
     server.faults().lateBy = 2 * callTimeout;
     BOOST_TEST((approve().verdict == config::change_verdict::Accepted));
@@ -112,17 +113,17 @@
     timer.async_wait([&](const boost::system::error_code&) { context.stop(); });
     context.run();
     context.restart();
-    checkMadeOnce();
+    checkAppliedOnce();
 }
 
 BOOST_AUTO_TEST_CASE(service_that_pauses_for_a_while_ends_in_one_change)
 {
-    // The service is stopped for longer than the calls wait, then goes on with what it had received.
+    // The service is paused for longer than the call timeout and then executes the requests it had received.
     server.pause();
     asio::steady_timer timer(context, 4 * callTimeout);
     timer.async_wait([&](const boost::system::error_code&) { server.resume(); });
     BOOST_TEST((approve().verdict == config::change_verdict::Accepted));
-    checkMadeOnce();
+    checkAppliedOnce();
 }
 
 BOOST_AUTO_TEST_CASE(service_that_restarts_ends_in_one_change)
@@ -131,7 +132,7 @@
     asio::steady_timer timer(context, callTimeout);
     timer.async_wait([&](const boost::system::error_code&) { server.comeUp(); });
     BOOST_TEST((approve().verdict == config::change_verdict::Accepted));
-    checkMadeOnce();
+    checkAppliedOnce();
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/auto/keyvalue/tst_configsize.cpp
+++ b/tests/auto/keyvalue/tst_configsize.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t workspaces = 8800;
 constexpr std::size_t largestValue = 1'000'000;
 
-/// A team's section as workspaces have it.
+/// A calling team with the section size of a typical workspace.
 config::calling_team makeTeam(std::size_t number)
 {
     config::calling_team team;
@@ -31,10 +31,10 @@
         fill.edits.emplace_back(config::put_section { "teams/" + team.id.str(), config::sectionText(team) });
     }
     BOOST_TEST_REQUIRE((change(store, fill).verdict == config::change_verdict::Accepted));
-    change(store, weightOf("counter-key", "counter-app", 2, 2));
+    change(store, weightRequest("counter-key", "counter-app", 2, 2));
 
     kv.calls = 0;
-    const config::change_outcome outcome = change(store, weightOf("counter-key", "counter-app", 3, 3));
+    const config::change_outcome outcome = change(store, weightRequest("counter-key", "counter-app", 3, 3));
     BOOST_TEST((outcome.verdict == config::change_verdict::Accepted));
     const unsigned changeCalls = kv.calls;
     BOOST_TEST(changeCalls == 2u);
@@ -54,7 +54,7 @@
     BOOST_TEST((applied != nullptr));
     using milliseconds = std::chrono::duration<double, std::milli>;
     BOOST_TEST_MESSAGE("reading all sections " << milliseconds(parsedAt - start).count()
-                                               << " ms, putting one change in force "
+                                               << " ms, applying one change "
                                                << milliseconds(appliedAt - parsedAt).count() << " ms");
     BOOST_TEST_MESSAGE("sections " << whole->texts.size() << ", head " << encode(whole->head).size()
                                    << " B, longest value " << kv.store.longestValue()
--- a/tests/auto/keyvalue/tst_configstore.cpp
+++ b/tests/auto/keyvalue/tst_configstore.cpp
@@ -20,7 +20,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(config_store_changes, config_fixture)
 
-BOOST_AUTO_TEST_CASE(chart_and_machine_agree)
+BOOST_AUTO_TEST_CASE(chart_matches_the_state_machine)
 {
     BOOST_TEST(static_cast<bool>(config::config_change::checkChart(chart)));
 }
@@ -35,21 +35,21 @@
 
 BOOST_AUTO_TEST_CASE(change_without_a_race_costs_two_calls)
 {
-    change(store, weightOf("counter-key", "counter-app", 2, 1));
+    change(store, weightRequest("counter-key", "counter-app", 2, 1));
     kv.calls = 0;
-    change(store, weightOf("counter-key", "counter-app", 3, 2));
+    change(store, weightRequest("counter-key", "counter-app", 3, 2));
     BOOST_TEST(kv.calls == 2u);
 }
 
 BOOST_AUTO_TEST_CASE(racing_operators_of_different_sections_both_succeed)
 {
-    // Two operators of two teams apply at the same moment on two nodes. Both read revision 1 and write on
-    // top of it; the service lets one win. The other must be rebased, and neither edit may be lost.
+    // Operators of two calling teams apply changes concurrently on two nodes. Both read revision 1, and only
+    // one transaction based on it succeeds. The other change must be rebased; neither edit may be lost.
     test_store other(kv, clock, "/t/", chart);
     change_outcome first;
     change_outcome second;
-    spawn(store, weightOf("counter-key", "counter-app", 5, 1), first);
-    spawn(other, weightOf("events-key", "events-site", 7, 1), second);
+    spawn(store, weightRequest("counter-key", "counter-app", 5, 1), first);
+    spawn(other, weightRequest("events-key", "events-site", 7, 1), second);
     run();
     BOOST_TEST((first.verdict == change_verdict::Accepted && second.verdict == change_verdict::Accepted));
     BOOST_TEST(first.revision + second.revision == 5u);
@@ -59,13 +59,13 @@
 
 BOOST_AUTO_TEST_CASE(racing_operators_of_one_section_end_in_one_change_and_one_conflict)
 {
-    // Two operators edit the same section at the same moment. The loser must hear that its edit would undo
-    // another, and see how the section differs; it must not silently win.
+    // Two operators edit the same section concurrently. The second edit would overwrite the first: it must be
+    // refused as a conflict with a diff of the section, not applied silently.
     test_store other(kv, clock, "/t/", chart);
     change_outcome first;
     change_outcome second;
-    spawn(store, weightOf("counter-key", "counter-app", 5, 1), first);
-    spawn(other, weightOf("admin-key", "counter-app", 7, 1), second);
+    spawn(store, weightRequest("counter-key", "counter-app", 5, 1), first);
+    spawn(other, weightRequest("admin-key", "counter-app", 7, 1), second);
     run();
     const change_outcome& loser = first.verdict == change_verdict::Accepted ? second : first;
     BOOST_TEST((loser.verdict == change_verdict::Refused));
@@ -76,11 +76,11 @@
 
 BOOST_AUTO_TEST_CASE(only_the_owners_keys_edit_a_section)
 {
-    const change_outcome foreign = change(store, weightOf("events-key", "counter-app", 9, 1));
+    const change_outcome foreign = change(store, weightRequest("events-key", "counter-app", 9, 1));
     BOOST_TEST((foreign.failure.kind == error_kind::NotOwner));
-    const change_outcome unknown = change(store, weightOf("no-key", "counter-app", 9, 1));
+    const change_outcome unknown = change(store, weightRequest("no-key", "counter-app", 9, 1));
     BOOST_TEST((unknown.failure.kind == error_kind::OperatorUnknown));
-    // Making oneself an administrator is an edit of a section that is not one's own.
+    // An operator who makes itself an administrator edits a section that it does not own.
     config::change_request grab = requestBy("events-key", 1);
     config::operator_entry entry = store.cached()->whole->operators.at("events-op");
     entry.owns.insert("*");
@@ -89,15 +89,15 @@
     BOOST_TEST(readAnew()->head.revision == 1u);
 }
 
-BOOST_AUTO_TEST_CASE(first_key_is_void_once_there_are_operators)
+BOOST_AUTO_TEST_CASE(first_key_is_invalid_once_there_are_operators)
 {
-    config::change_request request = weightOf("admin-key", "counter-app", 2, 1);
+    config::change_request request = weightRequest("admin-key", "counter-app", 2, 1);
     request.keyHash = hashOf("another-first-key");
     request.firstKeyHash = request.keyHash;
     BOOST_TEST((change(store, request).failure.kind == error_kind::OperatorUnknown));
 }
 
-BOOST_AUTO_TEST_CASE(unsound_document_is_refused_with_its_problems)
+BOOST_AUTO_TEST_CASE(invalid_document_is_refused_with_its_problems)
 {
     config::change_request request = requestBy("counter-key", 1);
     request.edits.emplace_back(config::delete_section { "pools/theses" });
@@ -109,8 +109,8 @@
 
 BOOST_AUTO_TEST_CASE(approval_takes_both_sides_and_rebases_over_an_edit_of_its_section)
 {
-    // The pool's owner approves a team while somebody else has just changed the same section. The approval
-    // says what to change and not how the section looks, so it must come through beside the other edit.
+    // The pool's owner approves a calling team while another operator changes the same section. An approval
+    // names the change and not the resulting section, so it must succeed together with the other edit.
     test_store other(kv, clock, "/t/", chart);
     config::change_request approve = requestBy("counter-key", 1);
     approve.edits.emplace_back(config::set_approval { theses(), events(), true });
@@ -134,11 +134,11 @@
     BOOST_TEST((change(store, revoke).verdict == change_verdict::Unchanged));
 }
 
-BOOST_AUTO_TEST_CASE(deleted_section_does_not_come_back_by_an_old_edit)
+BOOST_AUTO_TEST_CASE(stale_edit_does_not_restore_a_deleted_section)
 {
-    // A team was deleted, say for a leaked key. An operator who still has the older file applies it: the
-    // team must not come back without anybody noticing.
-    const config::change_request old = weightOf("events-key", "events-site", 4, 1);
+    // A calling team was deleted, for example because of a leaked key, and an operator applies an older file.
+    // This must not restore the team unnoticed.
+    const config::change_request old = weightRequest("events-key", "events-site", 4, 1);
     config::change_request remove = requestBy("events-key", 1);
     remove.edits.emplace_back(config::delete_section { "teams/events-site" });
     BOOST_TEST((change(store, remove).verdict == change_verdict::Accepted));
@@ -148,11 +148,11 @@
 
 BOOST_AUTO_TEST_CASE(same_change_id_on_another_node_takes_effect_once)
 {
-    // The operator's tool lost the daemon's answer and asks a second daemon with the same change id, after
-    // the section was edited again. It must hear "accepted", and the later edit must stand.
-    const config::change_request request = weightOf("counter-key", "counter-app", 5, 1);
+    // The operator's tool lost the daemon's answer and retries on a second daemon with the same change id,
+    // after the section was edited again. The outcome must be Accepted, and the later edit must be kept.
+    const config::change_request request = weightRequest("counter-key", "counter-app", 5, 1);
     BOOST_TEST(change(store, request).revision == 2u);
-    change(store, weightOf("counter-key", "counter-app", 6, 2));
+    change(store, weightRequest("counter-key", "counter-app", 6, 2));
     test_store other(kv, clock, "/t/", chart);
     const change_outcome again = change(other, request);
     BOOST_TEST((again.verdict == change_verdict::Accepted));
@@ -160,20 +160,21 @@
     BOOST_TEST(weightNow("counter-app") == 6);
 }
 
-BOOST_AUTO_TEST_CASE(service_down_all_along_refuses_without_effect)
+BOOST_AUTO_TEST_CASE(service_outage_refuses_the_change_without_effect)
 {
     kv.readFaults.assign(1000, kv_fault::NotSent);
-    const change_outcome outcome = change(store, weightOf("counter-key", "counter-app", 5, 1));
+    const change_outcome outcome = change(store, weightRequest("counter-key", "counter-app", 5, 1));
     BOOST_TEST((outcome.verdict == change_verdict::Refused));
     BOOST_TEST((outcome.failure.kind == error_kind::PlatformUnavailable));
     BOOST_TEST(weightNow("counter-app") == 1);
 }
 
-BOOST_AUTO_TEST_CASE(service_down_after_an_ambiguous_write_says_that_it_is_not_known)
+BOOST_AUTO_TEST_CASE(service_outage_after_an_ambiguous_write_reports_unknown)
 {
-    // The write takes effect, its answer is lost, and the service stays down. "Failed" would be a lie; the
-    // operator must hear that it is not known, and the same id finds the change once the service is back.
-    const config::change_request request = weightOf("counter-key", "counter-app", 5, 1);
+    // The write takes effect, its answer is lost, and the service stays unavailable. Reporting a failure
+    // would be wrong: the outcome must be Unknown, and a retry with the same id must find the change once the
+    // service is available again.
+    const config::change_request request = weightRequest("counter-key", "counter-app", 5, 1);
     kv.readFaults.assign(1000, kv_fault::NotSent);
     kv.readFaults.front() = kv_fault::None;
     kv.writeFaults = { kv_fault::LostAnswer };
@@ -184,11 +185,11 @@
     BOOST_TEST(readAnew()->head.revision == 2u);
 }
 
-BOOST_AUTO_TEST_CASE(history_that_does_not_reach_back_says_that_it_is_not_known)
+BOOST_AUTO_TEST_CASE(change_older_than_the_history_reports_unknown)
 {
-    // The answer of a write is lost, and before it can be read back more changes are accepted than the
-    // head remembers. The change is in force, but nothing shows it any more.
-    const config::change_request request = weightOf("counter-key", "counter-app", 5, 1);
+    // The answer of a write is lost, and before it can be read back more changes are accepted than the head's
+    // history holds. The change is in force, but the history cannot confirm it any more.
+    const config::change_request request = weightRequest("counter-key", "counter-app", 5, 1);
     kv.writeFaults = { kv_fault::LostAnswer };
     bool isFirstRead = true;
     kv.onRead = [&] {
@@ -215,7 +216,7 @@
 constexpr kv_fault everyFault[]
     = { kv_fault::None, kv_fault::NotSent, kv_fault::LostAnswer, kv_fault::LostRequest, kv_fault::Late };
 
-/// How often the change stands in the head's history.
+/// Number of records of the change in the head's history.
 std::size_t timesInHead(const config::config_snapshot& snapshot, const std::string& id)
 {
     return std::ranges::count(snapshot.head.history, id, &config::change_record::id);
@@ -225,22 +226,23 @@
 
 BOOST_AUTO_TEST_SUITE(config_store_ambiguity)
 
-BOOST_AUTO_TEST_CASE(every_pair_of_faults_at_every_write_is_told_as_it_is)
+BOOST_AUTO_TEST_CASE(every_combination_of_write_faults_reports_the_true_outcome)
 {
-    // Each of the first three writes of a change is refused, loses its answer, is lost itself, or takes
-    // effect only after the change has ended, in every combination, while a rival edits another section
-    // before the second read or not. What the operator hears must hold then and for ever after.
+    // Each of the first three writes of a change succeeds, is rejected, loses its answer, is lost, or takes
+    // effect only after the change has ended, in every combination, with and without a concurrent edit of
+    // another section before the second read. The reported outcome must hold, also after the delayed writes.
     for (const kv_fault first : everyFault) {
         for (const kv_fault second : everyFault) {
             for (const kv_fault third : everyFault) {
                 for (const bool hasRival : { false, true }) {
                     config_fixture f;
-                    const config::change_request request = f.weightOf("counter-key", "counter-app", 5, 1);
+                    const config::change_request request
+                        = f.weightRequest("counter-key", "counter-app", 5, 1);
                     f.kv.writeFaults = { first, second, third };
                     test_store rival(f.kv, f.clock, "/t/", f.chart);
                     change_outcome other;
                     if (hasRival)
-                        f.spawn(rival, f.weightOf("events-key", "events-site", 7, 1), other);
+                        f.spawn(rival, f.weightRequest("events-key", "events-site", 7, 1), other);
                     const change_outcome outcome = f.change(f.store, request);
                     f.kv.writeFaults.clear();
                     f.kv.applyLate();
@@ -261,15 +263,15 @@
 
 BOOST_AUTO_TEST_CASE(refusal_after_a_lost_write_holds_although_the_write_arrives_late)
 {
-    // The first write hangs in the network. Meanwhile another operator changes the same section, so the
-    // change is refused as a conflict. When the hanging write arrives it must find the head elsewhere.
+    // The first write is delayed in the network. Meanwhile another operator changes the same section, so the
+    // change is refused as a conflict. When the delayed write arrives, its compare with the head must fail.
     config_fixture f;
-    const config::change_request request = f.weightOf("counter-key", "counter-app", 5, 1);
+    const config::change_request request = f.weightRequest("counter-key", "counter-app", 5, 1);
     f.kv.writeFaults = { kv_fault::Late };
     test_store rival(f.kv, f.clock, "/t/", f.chart);
     change_outcome other;
     f.spawn(f.store, request, other);
-    const change_outcome won = f.change(rival, f.weightOf("admin-key", "counter-app", 7, 1));
+    const change_outcome won = f.change(rival, f.weightRequest("admin-key", "counter-app", 7, 1));
     const change_outcome& lost = other.verdict == change_verdict::Refused ? other : won;
     BOOST_TEST((lost.failure.kind == error_kind::EditConflict));
     f.kv.applyLate();
--- a/tests/auto/keyvalue/tst_kvclient.cpp
+++ b/tests/auto/keyvalue/tst_kvclient.cpp
@@ -19,7 +19,7 @@
 
 constexpr auto callTimeout = std::chrono::milliseconds(300);
 
-/// A stand-in and a client on one io_context, on ports that the system picks.
+/// A stand-in service on ports picked by the system, and a client on the same io_context.
 struct fixture {
     asio::io_context context { 1 };
     kvstandin::kv_server server { context.get_executor(), 0, 0 };
@@ -30,7 +30,7 @@
         return { asio::ip::address_v4::loopback(), port };
     }
 
-    /// Runs the coroutine to its end.
+    /// Runs the coroutine until it completes and rethrows its exception.
     void run(const std::function<asio::awaitable<void>()>& body)
     {
         std::exception_ptr failure;
@@ -107,8 +107,8 @@
 
 BOOST_AUTO_TEST_CASE(refused_connection_is_not_sent)
 {
-    // The service is down and refuses connections. The caller must hear that nothing was written, so that
-    // it may say "not run" and so that another endpoint may be tried with the same write.
+    // The service is down and refuses connections. The status must say that nothing was written, so that the
+    // caller can report "not run" and the same write can be retried on another endpoint.
     run([&]() -> asio::awaitable<void> {
         server.goDown();
         const kv_reply reply = co_await client.transact(put("k", "v"));
@@ -121,8 +121,8 @@
 
 BOOST_AUTO_TEST_CASE(lost_answer_of_a_write_is_unknown_and_the_write_is_not_repeated)
 {
-    // The service runs the write, then the connection breaks before the answer. A client that repeats the
-    // write on its second endpoint would run it twice; one that reports a failure would be wrong, too.
+    // The service executes the write, and the connection breaks before the answer. A retry on the second
+    // endpoint would execute the write twice, and reporting a failure would be wrong, too.
     run([&]() -> asio::awaitable<void> {
         kv_client two(
             context.get_executor(), { endpointOf(server.port()), endpointOf(server.port()) }, callTimeout);
@@ -136,8 +136,8 @@
 
 BOOST_AUTO_TEST_CASE(paused_service_makes_a_write_unknown_within_the_timeout)
 {
-    // The service stops in the middle of a call and goes on later: the write that the caller gave up
-    // takes effect after all.
+    // The service is paused during a call and resumes later: the write takes effect after the caller's
+    // timeout.
     run([&]() -> asio::awaitable<void> {
         co_await client.get(keyOf("k"));
         server.pause();
@@ -150,8 +150,8 @@
 
 BOOST_AUTO_TEST_CASE(closed_idle_connection_does_not_make_a_write_unknown)
 {
-    // The service restarts between two calls. The kept connection is dead; a write sent on it would end
-    // as "unknown" though the service never saw it.
+    // The service restarts between two calls, which closes the idle connection. A write sent on it would end
+    // as Unknown although the service never received it.
     run([&]() -> asio::awaitable<void> {
         co_await client.get(keyOf("k"));
         server.goDown();
@@ -176,7 +176,7 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(lease_ends_its_keys)
+BOOST_AUTO_TEST_CASE(revoked_lease_deletes_its_keys)
 {
     run([&]() -> asio::awaitable<void> {
         const kv_lease_reply lease = co_await client.grantLease(60);
@@ -194,7 +194,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(kv_watch_stream, fixture)
 
-BOOST_AUTO_TEST_CASE(changes_arrive_from_the_wanted_revision_on)
+BOOST_AUTO_TEST_CASE(changes_are_reported_from_the_requested_revision)
 {
     run([&]() -> asio::awaitable<void> {
         co_await client.transact(put("/c/a", "1"));
@@ -210,8 +210,8 @@
 
 BOOST_AUTO_TEST_CASE(outage_loses_no_change_and_repeats_none)
 {
-    // The stream breaks, changes are made, the service comes back: the watcher must report each change
-    // once, else a node would stay on an old configuration until the next one.
+    // The stream breaks, and keys change before the service is available again. The watch must report each
+    // change once; otherwise a node would keep a stale configuration until the next change.
     run([&]() -> asio::awaitable<void> {
         kv_watch watch(context.get_executor(), client.endpoints(), watchOf("k", 1));
         co_await client.transact(put("k", "1"));
@@ -227,10 +227,10 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(silent_stream_is_opened_anew)
+BOOST_AUTO_TEST_CASE(silent_stream_is_reopened)
 {
-    // The service's machine vanishes without a word: the connection stays open and silent. The watcher
-    // gives the stream up after its silence limit and hears the change on a new one.
+    // The service's VM is lost without closing the connection, which stays open without data. The watch must
+    // abandon the stream after its silence timeout and report the change from a new one.
     run([&]() -> asio::awaitable<void> {
         kv_watch watch(context.get_executor(), client.endpoints(), watchOf("k", 1));
         co_await client.transact(put("k", "1"));
--- a/tests/auto/keyvalue/tst_kvjson.cpp
+++ b/tests/auto/keyvalue/tst_kvjson.cpp
@@ -27,7 +27,7 @@
     BOOST_TEST(reply->entries[0].value == "1");
 }
 
-BOOST_AUTO_TEST_CASE(bodies_that_are_not_the_gateways_give_nothing)
+BOOST_AUTO_TEST_CASE(bodies_of_another_form_are_rejected)
 {
     for (const char* body :
         { "", "{}", "[]", "null", "<html>", R"({"header":3})", R"({"succeeded":true})" }) {
