--- a/src/libs/gateway/attempttracker.cpp
+++ b/src/libs/gateway/attempttracker.cpp
@@ -76,7 +76,8 @@
     if (isFailure)
         m_context.health.failed(m_plan.service, m_server, now);
     if (isFailure || outcome == attempt_outcome::Answered)
-        m_context.failures.recordOutcome(m_plan.route->name, m_server, isFailure || status >= firstFailure, now);
+        m_context.failures.recordOutcome(
+            m_plan.route->name, m_server, isFailure || status >= firstFailure, now);
     if (outcome != attempt_outcome::Answered)
         return;
     m_context.poison.completed(m_plan.digest, now);
--- a/src/libs/operations/answerjson.cpp
+++ b/src/libs/operations/answerjson.cpp
@@ -25,7 +25,7 @@
     const boost::json::string& body = object.at("body").as_string();
     answer.body = utils::fromBase64(body);
     if (answer.body.empty() != body.empty())
-        throw std::invalid_argument("body is not base64");
+        throw std::invalid_argument("answer body is not valid base64");
     return answer;
 }
 
--- a/src/libs/operations/answerjson.h
+++ b/src/libs/operations/answerjson.h
@@ -6,9 +6,10 @@
 
 namespace operations {
 
-/// Thread safe.
+/// Encodes an answer, with the body in base64. Thread safe.
 boost::json::object toJson(const stored_answer& answer);
-/// Throws boost::system::system_error or std::exception for a value of another shape. Thread safe.
+/// Inverse of toJson. Throws boost::system::system_error or std::exception if the value has another
+/// structure. Thread safe.
 stored_answer answerFromJson(const boost::json::value& value);
 
 } // namespace operations
--- a/src/libs/operations/engineorder.cpp
+++ b/src/libs/operations/engineorder.cpp
@@ -12,7 +12,7 @@
         || !std::ranges::includes(running.adapters, wanted.adapters);
 }
 
-std::vector<utils::server_id> differing(const engine_setups& wanted, const engine_setups& running)
+std::vector<utils::server_id> enginesToOrder(const engine_setups& wanted, const engine_setups& running)
 {
     std::vector<utils::server_id> servers;
     for (const auto& [server, setup] : wanted) {
--- a/src/libs/operations/modelplacer.cpp
+++ b/src/libs/operations/modelplacer.cpp
@@ -26,7 +26,7 @@
     return actions;
 }
 
-placer_actions model_placer::take(std::string_view event, utils::time_point now)
+placer_actions model_placer::stepAndTakeActions(std::string_view event, utils::time_point now)
 {
     step(event, now);
     return takeActions();
@@ -35,7 +35,7 @@
 placer_actions model_placer::start(std::int64_t lease, utils::time_point leaseEnd, utils::time_point now)
 {
     leaseGranted(lease, leaseEnd);
-    return take("start", now);
+    return stepAndTakeActions("start", now);
 }
 
 void model_placer::leaseGranted(std::int64_t lease, utils::time_point leaseEnd)
@@ -47,7 +47,7 @@
 placer_actions model_placer::leaseLost(utils::time_point now)
 {
     m_leaseEnd = now;
-    return take("lease_lost", now);
+    return stepAndTakeActions("lease_lost", now);
 }
 
 placer_actions model_placer::wantedChanged(
@@ -57,7 +57,7 @@
         return {};
     m_revision = revision;
     m_wanted = std::move(wanted);
-    return take("wanted_changed", now);
+    return stepAndTakeActions("wanted_changed", now);
 }
 
 placer_actions model_placer::onKvReply(
@@ -65,46 +65,46 @@
 {
     if (ticket != m_lastTicket || m_pending == pending::Nothing)
         return {};
-    return take(eventOf(reply), now);
+    return stepAndTakeActions(eventOf(reply), now);
 }
 
 placer_actions model_placer::onTimer(utils::time_point now)
 {
-    if (now < m_due)
+    if (now < m_timerDue)
         return {};
-    return take("timer", now);
+    return stepAndTakeActions("timer", now);
 }
 
 placer_actions model_placer::enginesRead(engine_setups running, utils::time_point now)
 {
     m_running = std::move(running);
-    const std::vector<utils::server_id> servers = differing(m_wanted, m_running);
+    const std::vector<utils::server_id> servers = enginesToOrder(m_wanted, m_running);
     if (servers.empty())
-        return take("engines_match", now);
+        return stepAndTakeActions("engines_match", now);
     m_target = servers.front();
     const bool isFetch = needsWeights(m_running.at(m_target), m_wanted.at(m_target));
-    return take(isFetch ? "weights_needed" : "engines_differ", now);
+    return stepAndTakeActions(isFetch ? "weights_needed" : "engines_differ", now);
 }
 
 placer_actions model_placer::permitLease(std::int64_t lease, utils::time_point now)
 {
     m_permitLease = lease;
-    return take(lease == 0 ? "permit_taken" : "permit_lease", now);
+    return stepAndTakeActions(lease == 0 ? "permit_taken" : "permit_lease", now);
 }
 
 placer_actions model_placer::orderDone(utils::time_point now)
 {
-    return take("order_done", now);
+    return stepAndTakeActions("order_done", now);
 }
 
 placer_actions model_placer::orderRefused(utils::time_point now)
 {
-    return take("order_refused", now);
+    return stepAndTakeActions("order_refused", now);
 }
 
 placer_actions model_placer::orderFailed(utils::time_point now)
 {
-    return take("order_failed", now);
+    return stepAndTakeActions("order_failed", now);
 }
 
 bool model_placer::maySend(utils::time_point now) const
@@ -114,7 +114,7 @@
 
 placer_actions model_placer::leave(utils::time_point now)
 {
-    return take("leave", now);
+    return stepAndTakeActions("leave", now);
 }
 
 std::string_view model_placer::eventOf(const keyvalue::kv_reply& reply)
@@ -147,7 +147,7 @@
 
 void model_placer::setTimer(utils::time_point at)
 {
-    m_due = at;
+    m_timerDue = at;
     emit(set_timer { at });
 }
 
@@ -162,7 +162,7 @@
 
 void model_placer::waitOut(utils::time_point now)
 {
-    setTimer(now + m_settings.waitOut);
+    setTimer(now + m_settings.newHolderDelay);
 }
 
 void model_placer::readEngines(utils::time_point /*now*/)
@@ -175,13 +175,14 @@
 
 void model_placer::askPermit(utils::time_point /*now*/)
 {
-    emit(grant_lease { m_settings.weightHoldSeconds });
+    emit(grant_lease { m_settings.weightSlotLeaseSeconds });
 }
 
 void model_placer::writePermit(utils::time_point /*now*/)
 {
-    // The slot is freed by its lease alone: the rate holds by the platform's clock, whoever crashes.
-    const unsigned slot = (m_identity.seed + m_permits++) % m_settings.weightSlots;
+    // Only the end of the lease frees the slot, so the platform's clock enforces the rate even if nodes
+    // crash.
+    const unsigned slot = (m_identity.seed + m_permitAttempts++) % m_settings.weightSlots;
     const std::string key = "weightslots/" + std::to_string(slot);
     keyvalue::kv_transaction transaction;
     transaction.compares.push_back({ key, 0 });
--- a/src/libs/operations/operation.cpp
+++ b/src/libs/operations/operation.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Added to a record's horizon, for clocks of nodes that differ.
+/// Added to a record's horizon to allow for clock skew between nodes.
 constexpr std::int64_t horizonMarginSeconds = 30;
 
 std::int64_t ceilSeconds(utils::duration value)
@@ -89,7 +89,8 @@
         step("gate_refused", now);
         return takeActions();
     }
-    // A process that was paused here would send when its caller has long gone; the clock shows it.
+    // A process that was paused before this call would send after its caller gave up; checking the clock here
+    // prevents that.
     step(now >= m_limit ? "limit" : "ready", now);
     return takeActions();
 }
@@ -152,7 +153,7 @@
 {
     m_seenRevision = entry.modRevision;
     m_found = decodeOperationRecord(entry.value);
-    // A record that cannot be read was written for something that may have run.
+    // A record that cannot be decoded was written for a request that may have run.
     if (!m_found)
         return "found_unknown";
     if (m_found->nonce == m_request.nonce)
@@ -169,7 +170,7 @@
     case record_state::Claimed:
         break;
     }
-    // Both answers say may_have_run; the holder's clock only decides whether coming back is worth it.
+    // Both answers say may_have_run; the holder's clock only decides whether a retry may find an outcome.
     const bool isAbandoned = m_request.wallSeconds > m_found->wallSeconds + m_found->horizonSeconds;
     return isAbandoned ? "found_unknown" : "found_claimed";
 }
@@ -206,7 +207,7 @@
     emit(kv_transact { ++m_lastTicket, std::move(transaction), canWait });
 }
 
-void operation::arm(utils::time_point limit, utils::time_point now)
+void operation::setLimit(utils::time_point limit, utils::time_point now)
 {
     m_limit = limit;
     m_retryDelay = m_settings.retryFirst;
@@ -250,19 +251,20 @@
 
 void operation::armClose(utils::time_point now)
 {
-    arm(now + m_settings.closeWindow, now);
+    setLimit(now + m_settings.closeWindow, now);
 }
 
 void operation::closeRecord(utils::time_point /*now*/)
 {
-    // Also where no record is seen: a claim without an answer may take effect late, and would then turn
-    // away the caller's next sending as may_have_run. The closed record makes its compare fail.
+    // Written also if no record was found: a claim whose reply was lost may take effect late, and the
+    // caller's next sending would then be refused as may_have_run. The closed record makes the claim's
+    // compare fail.
     putRecord(pending::Close, makeRecord(record_state::Closed), false);
 }
 
 void operation::armStore(utils::time_point now)
 {
-    arm(now + m_settings.afterWindow, now);
+    setLimit(now + m_settings.recordWriteWindow, now);
 }
 
 void operation::storeOutcome(utils::time_point /*now*/)
@@ -283,7 +285,7 @@
 void operation::armFollow(utils::time_point now)
 {
     m_limit = now + m_settings.followWindow;
-    m_followDelay = m_settings.followFirst;
+    m_followDelay = m_settings.followFirstInterval;
 }
 
 void operation::pollLater(utils::time_point now)
@@ -301,8 +303,8 @@
 {
     if (m_found->answer)
         return emit(answer_caller { *m_found->answer, true });
-    refuse({ utils::error_kind::OperationOutcomeUnknown, "it ran; its answer was too large to keep",
-        utils::run_state::Ran, {} });
+    refuse({ utils::error_kind::OperationOutcomeUnknown,
+        "the request ran, but its answer was too large to store", utils::run_state::Ran, {} });
 }
 
 void operation::refuseNotRun(utils::time_point /*now*/)
@@ -313,7 +315,7 @@
 void operation::refuseMayHaveRun(utils::time_point /*now*/)
 {
     refuse({ utils::error_kind::OperationOutcomeUnknown,
-        "its record could not be closed: the platform does not answer", {}, {} });
+        "the record could not be closed: the platform does not answer", {}, {} });
 }
 
 void operation::refuseCut(utils::time_point /*now*/)
--- a/src/libs/operations/operation.h
+++ b/src/libs/operations/operation.h
@@ -16,75 +16,79 @@
 
 namespace operations {
 
-/// Limits of every operation; the defaults are argued in docs/design/at-most-once.md.
+/// Time and size limits of an operation; docs/design/at-most-once.md explains the defaults.
 struct operation_settings {
-    /// From sending the claim to sending the request. A payment that could not start in this time is
+    /// Maximum time from sending the claim to sending the request. A payment that cannot start within it is
     /// refused while its caller still waits.
     utils::duration dispatchWindow = std::chrono::seconds(2);
-    /// How long a refusal may be held back to close the record first; then the answer is may_have_run.
+    /// How long a refusal may be delayed to close the record first; after that the answer is may_have_run.
     utils::duration closeWindow = std::chrono::seconds(1);
-    /// How long the record is still closed, or the answer stored, after the caller's answer.
-    utils::duration afterWindow = std::chrono::seconds(60);
-    utils::duration retryFirst = std::chrono::milliseconds(50); ///< doubles with each platform failure
+    /// How long writes that close the record or store the outcome are retried after the caller was answered.
+    utils::duration recordWriteWindow = std::chrono::seconds(60);
+    utils::duration retryFirst = std::chrono::milliseconds(50); ///< doubles after each platform failure
     utils::duration retryMost = std::chrono::seconds(5);
-    /// How long a second sending waits for the first one's answer, and how often it looks.
+    /// How long a second sending waits for the answer of the first, and its longest polling interval.
     utils::duration followWindow = std::chrono::seconds(2);
     utils::duration followInterval = std::chrono::milliseconds(250);
-    /// The first look; doubles up to followInterval. A caller that asks again right after its answer meets a
-    /// record whose outcome is a batch window away, and waited a whole interval for it.
-    utils::duration followFirst = std::chrono::milliseconds(30);
-    /// Largest body that is kept: in base64 with its headers it stays under the platform's megabyte.
+    /// First polling interval; doubles up to followInterval. A caller that retries right after its answer
+    /// finds a record whose outcome is stored one batch window later. With followInterval as the first
+    /// interval it waited that long for it.
+    utils::duration followFirstInterval = std::chrono::milliseconds(30);
+    /// Largest stored body in bytes: in base64 and with its headers it stays below the platform's limit of
+    /// one megabyte.
     std::size_t maxKeptBody = 640UL * 1024;
 };
 
 /// One sending of a non-idempotent request.
 struct operation_request {
     utils::team_id team;
-    std::string idempotencyKey; ///< as the caller gave it, or generated for this sending
+    std::string idempotencyKey; ///< sent by the caller, or generated for this sending
     std::string bodyDigest; ///< utils::sha256Hex of method, path and body
-    std::string nonce; ///< random, of this sending alone
+    std::string nonce; ///< random and unique to this sending
     utils::node_id node;
     std::uint64_t boot = 0;
-    std::int64_t wallSeconds = 0; ///< UTC now
-    utils::duration runTimeout = std::chrono::seconds(10); ///< the route's
-    std::int64_t lease = 0; ///< platform lease that ends the record's retention
+    std::int64_t wallSeconds = 0; ///< current UTC time
+    utils::duration runTimeout = std::chrono::seconds(10); ///< run timeout of the route
+    std::int64_t lease = 0; ///< platform lease; the record is removed when it ends
 };
 
 using operation_action
     = std::variant<kv_transact, reach_server, send_request, answer_caller, refuse_caller, set_timer>;
 using operation_actions = std::vector<operation_action>;
 
-/// Runs one sending of a non-idempotent request so that its key runs at most once, whatever node the
-/// caller asks next. Steps: share/lycheefront/charts/operation.yaml.
+/// Runs one sending of a non-idempotent request so that its idempotency key runs at most once, whichever node
+/// receives the caller's next sending. Steps: share/lycheefront/charts/operation.yaml.
 ///
-/// The rule: a record is created in the platform before the request may leave, and only the machine whose
-/// nonce stands in the record sends, once. Nobody else ever runs a claimed record, however old, so that no
-/// clock, pause or lapsed lease can make it run twice. "not_run" about a record that may stand is said only
-/// after a compare-and-swap has closed it, so that the next sending may run.
+/// A record is created in the platform before the request may be sent, and only the state machine whose nonce
+/// is in the record sends the request, once. No other state machine runs a claimed record, however old, so
+/// that no clock error, process pause or expired lease can make it run twice. If a record may exist,
+/// "not_run" is answered only after a compare-and-swap has closed it, so that the next sending may run.
 ///
-/// Load: two platform writes for a payment. Without the record a caller that asks again on another node
-/// after a cut pays twice. Not thread safe.
+/// Load: two platform writes per payment. Without the record, a caller that retries on another node after a
+/// broken connection pays twice. Not thread safe.
 class operation : public chart_machine<operation, operation_action> {
 public:
-    /// Preconditions: `chart` is operation.yaml, passed checkChart and outlives this; the request was
-    /// admitted (has its slot), since the dispatch window starts with start().
+    /// Preconditions: `chart` is operation.yaml, passed checkChart and outlives this object; the request was
+    /// admitted and holds its slot, since the dispatch window begins with start().
     operation(const utils::state_chart& chart, const operation_settings& settings, operation_request request);
 
     operation_actions start(utils::time_point now);
-    /// The reply to a kv_transact. Replies to tickets that no longer matter are ignored.
+    /// The reply to a kv_transact. Only the reply to the latest ticket is used; others are ignored.
     operation_actions onKvReply(std::uint64_t ticket, const keyvalue::kv_reply& reply, utils::time_point now);
     operation_actions onTimer(utils::time_point now);
-    /// Call with the connection open, right before the first byte: `refusal` is why the request may not
-    /// leave now (node not current, approval revoked), nothing if it may. Answers send_request, or closes the
-    /// record.
+    /// Call with the connection open, right before the first byte is sent. `refusal` is the reason why the
+    /// request must not be sent (node not current, approval revoked), or empty if it may. Returns
+    /// send_request, or closes the record.
     operation_actions readyToSend(const std::optional<utils::failure>& refusal, utils::time_point now);
-    /// No byte of the request has left, and none will.
+    /// No byte of the request was sent, and none will be.
     operation_actions serverNotReached(const utils::failure& why, utils::time_point now);
-    /// The whole answer has arrived.
+    /// The complete answer has arrived.
     operation_actions serverAnswered(stored_answer answer, utils::time_point now);
-    /// The connection broke, or the route's time ended, after send_request and before the whole answer.
+    /// The connection broke, or the route's run timeout expired, after send_request and before the complete
+    /// answer.
     operation_actions serverCut(const utils::failure& why, utils::time_point now);
-    /// The caller's connection is gone: nothing is sent any more, but what was sent is recorded.
+    /// The caller's connection is closed: an unsent request is not sent, but the outcome of a sent one is
+    /// recorded.
     operation_actions callerGone(utils::time_point now);
 
     static const action_table& table();
@@ -98,7 +102,7 @@
         Read
     };
 
-    // Actions of the chart.
+    // Actions of the state chart.
     void armWindow(utils::time_point now);
     void writeClaim(utils::time_point now);
     void readBack(utils::time_point now);
@@ -128,18 +132,18 @@
     void putRecord(pending what, const operation_record& record, bool canWait);
     operation_record makeRecord(record_state state) const;
     void refuse(utils::failure failure);
-    void arm(utils::time_point limit, utils::time_point now);
+    void setLimit(utils::time_point limit, utils::time_point now);
 
     operation_settings m_settings;
     operation_request m_request;
     std::string m_key;
     std::uint64_t m_lastTicket = 0;
     pending m_pending = pending::Nothing;
-    std::int64_t m_seenRevision = 0; ///< of the record's last write that we know; 0: absent
-    std::optional<operation_record> m_found; ///< another sending's record
+    std::int64_t m_seenRevision = 0; ///< of the record's last known write; 0: no record
+    std::optional<operation_record> m_found; ///< record of another sending
     std::optional<stored_answer> m_answer;
     utils::failure m_refusal;
-    utils::time_point m_limit; ///< end of what the present state waits for
+    utils::time_point m_limit; ///< when the wait of the current state ends
     utils::duration m_retryDelay;
     utils::duration m_followDelay {};
 };
--- a/src/libs/operations/operationbatcher.cpp
+++ b/src/libs/operations/operationbatcher.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr unsigned sharedAttempts = 2; ///< after that an item goes by itself
+constexpr unsigned maxSharedAttempts = 2; ///< after these an item is sent in a batch of its own
 
-/// The key of an item that may share a transaction, or nothing.
+/// The key of a transaction that may share a batch; empty if it must be sent alone.
 std::optional<std::string> sharedKey(const keyvalue::kv_transaction& transaction)
 {
     if (transaction.compares.size() > 1 || transaction.onSuccess.size() != 1)
@@ -42,13 +42,13 @@
     return found == reply.entries.end() ? nullptr : &*found;
 }
 
-keyvalue::kv_reply replyFor(const keyvalue::kv_reply& whole, const std::string& key, bool succeeded)
+keyvalue::kv_reply replyFor(const keyvalue::kv_reply& combined, const std::string& key, bool succeeded)
 {
     keyvalue::kv_reply reply;
-    reply.status = whole.status;
+    reply.status = combined.status;
     reply.succeeded = succeeded;
-    reply.revision = whole.revision;
-    if (const keyvalue::kv_entry* entry = findEntry(whole, key))
+    reply.revision = combined.revision;
+    if (const keyvalue::kv_entry* entry = findEntry(combined, key))
         reply.entries.push_back(*entry);
     return reply;
 }
@@ -69,7 +69,7 @@
         actions.emplace_back(deliver_reply { item.owner, item.ticket, {} });
         return actions;
     }
-    const utils::duration wait = item.canWait ? m_settings.patientWindow : m_settings.window;
+    const utils::duration wait = item.canWait ? m_settings.deferrableWindow : m_settings.window;
     m_queue.push_back({ std::move(item), now + wait, 0 });
     flush(now, actions);
     return actions;
@@ -89,7 +89,7 @@
     auto found = m_inFlight.extract(batch);
     if (found.empty())
         return actions;
-    handOut(std::move(found.mapped()), reply, actions);
+    deliverReplies(std::move(found.mapped()), reply, actions);
     flush(now, actions);
     return actions;
 }
@@ -114,10 +114,10 @@
     std::deque<queued_item> rest;
     for (queued_item& item : m_queue) {
         const std::optional<std::string> key = sharedKey(item.item.transaction);
-        const bool isAlone = !key || item.attempts >= sharedAttempts;
+        const bool isAlone = !key || item.attempts >= maxSharedAttempts;
         const std::size_t size = bytesOf(item.item.transaction);
         const bool isFull = batch.size() >= m_settings.maxEntries || bytes + size > m_settings.maxBytes;
-        // The service refuses a transaction that writes a key twice.
+        // The key-value service rejects a transaction that writes a key twice.
         const bool isTaken = batch.empty() || (!isAlone && !isFull && !keys.contains(*key));
         if (!isTaken || bytes > m_settings.maxBytes) {
             rest.push_back(std::move(item));
@@ -133,28 +133,29 @@
 
 void operation_batcher::send(item_list items, batch_actions& actions)
 {
-    keyvalue::kv_transaction whole;
+    keyvalue::kv_transaction combined;
     if (items.size() == 1) {
-        whole = items.front().item.transaction;
+        combined = items.front().item.transaction;
     } else {
         for (queued_item& each : items) {
             const keyvalue::kv_transaction& part = each.item.transaction;
-            whole.compares.insert(whole.compares.end(), part.compares.begin(), part.compares.end());
-            whole.onSuccess.push_back(part.onSuccess.front());
-            whole.onFailure.emplace_back(keyvalue::kv_get { *sharedKey(part), {}, 0 });
+            combined.compares.insert(combined.compares.end(), part.compares.begin(), part.compares.end());
+            combined.onSuccess.push_back(part.onSuccess.front());
+            combined.onFailure.emplace_back(keyvalue::kv_get { *sharedKey(part), {}, 0 });
         }
     }
-    actions.emplace_back(send_batch { ++m_lastBatch, std::move(whole) });
+    actions.emplace_back(send_batch { ++m_lastBatch, std::move(combined) });
     m_inFlight[m_lastBatch] = std::move(items);
 }
 
-void operation_batcher::handOut(item_list items, const keyvalue::kv_reply& reply, batch_actions& actions)
+void operation_batcher::deliverReplies(
+    item_list items, const keyvalue::kv_reply& reply, batch_actions& actions)
 {
-    const bool isWhole = items.size() == 1 || reply.status != keyvalue::kv_status::Done;
-    item_list again;
+    const bool isReplyForAll = items.size() == 1 || reply.status != keyvalue::kv_status::Done;
+    item_list retried;
     for (queued_item& each : items) {
         const batch_item& item = each.item;
-        if (isWhole) {
+        if (isReplyForAll) {
             actions.emplace_back(deliver_reply { item.owner, item.ticket, reply });
             continue;
         }
@@ -162,14 +163,14 @@
         const bool isRead = item.transaction.compares.empty();
         if (!reply.succeeded && !isRead && compareHolds(item.transaction, reply)) {
             ++each.attempts;
-            again.push_back(std::move(each));
+            retried.push_back(std::move(each));
             continue;
         }
         const bool succeeded = reply.succeeded || isRead;
         actions.emplace_back(deliver_reply { item.owner, item.ticket, replyFor(reply, key, succeeded) });
     }
     m_queue.insert(
-        m_queue.begin(), std::make_move_iterator(again.begin()), std::make_move_iterator(again.end()));
+        m_queue.begin(), std::make_move_iterator(retried.begin()), std::make_move_iterator(retried.end()));
 }
 
 } // namespace operations
