--- a/tests/auto/operations/benchnodes.cpp
+++ b/tests/auto/operations/benchnodes.cpp
@@ -12,14 +12,14 @@
 {
     m_nodes.at(node).isPaused = false;
     const std::uint64_t boot = m_nodes.at(node).boot;
-    // One of them may stop the node again.
-    for (const auto& callback : std::exchange(m_nodes.at(node).heldBack, {}))
+    // A callback may pause or kill the node again.
+    for (const auto& callback : std::exchange(m_nodes.at(node).deferredCallbacks, {}))
         deliver(node, boot, callback);
 }
 
 void bench_nodes::resumeNewestFirst(std::size_t node)
 {
-    std::ranges::reverse(m_nodes.at(node).heldBack);
+    std::ranges::reverse(m_nodes.at(node).deferredCallbacks);
     resume(node);
 }
 
@@ -28,7 +28,7 @@
     node_state& at = m_nodes.at(node);
     at.isUp = false;
     at.isPaused = false;
-    at.heldBack.clear();
+    at.deferredCallbacks.clear();
 }
 
 void bench_nodes::restart(std::size_t node)
@@ -46,7 +46,7 @@
     if (!at.isUp || at.boot != boot)
         return;
     if (at.isPaused)
-        at.heldBack.push_back(callback);
+        at.deferredCallbacks.push_back(callback);
     else
         callback();
 }
--- a/tests/auto/operations/benchnodes.h
+++ b/tests/auto/operations/benchnodes.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <vector>
 
-/// The processes of a bench. A paused one gets what came for it when it resumes; a killed one never does, and
-/// starts again with a new boot number. Not thread safe.
+/// The simulated processes of a bench. A paused process gets its deferred callbacks when it resumes; a killed
+/// process loses them and restarts with a new boot number. Not thread safe.
 class bench_nodes {
 public:
     explicit bench_nodes(std::size_t count)
@@ -21,11 +21,13 @@
 
     void pause(std::size_t node);
     void resume(std::size_t node);
-    /// Resumes with what came last handled first: a process that wakes may read its sockets in any order.
+    /// Resumes and runs the newest deferred callback first: a resumed process may read its sockets in any
+    /// order.
     void resumeNewestFirst(std::size_t node);
     void kill(std::size_t node);
     void restart(std::size_t node);
-    /// Runs the callback in that process as soon as it runs, unless it has ended since `boot`.
+    /// Runs the callback in the process, or when the process resumes. Dropped if the process of `boot` has
+    /// ended.
     void deliver(std::size_t node, std::uint64_t boot, const std::function<void()>& callback);
 
 private:
@@ -33,7 +35,7 @@
         std::uint64_t boot = 1;
         bool isUp = true;
         bool isPaused = false;
-        std::vector<std::function<void()>> heldBack;
+        std::vector<std::function<void()>> deferredCallbacks;
     };
 
     std::vector<node_state> m_nodes;
--- a/tests/auto/operations/fakekv.cpp
+++ b/tests/auto/operations/fakekv.cpp
@@ -9,7 +9,7 @@
     return !std::holds_alternative<keyvalue::kv_get>(operation);
 }
 
-keyvalue::kv_reply without(keyvalue::kv_status status)
+keyvalue::kv_reply replyWithStatus(keyvalue::kv_status status)
 {
     keyvalue::kv_reply reply;
     reply.status = status;
@@ -21,11 +21,11 @@
 void fake_kv::call(const keyvalue::kv_transaction& transaction, const reply_handler& onReply)
 {
     const auto unknownLater = [this, onReply] {
-        m_time.after(callTimeout, [onReply] { onReply(without(keyvalue::kv_status::Unknown)); });
+        m_time.after(callTimeout, [onReply] { onReply(replyWithStatus(keyvalue::kv_status::Unknown)); });
     };
     switch (fate(transaction)) {
     case kv_fate::NotSent:
-        m_time.after({}, [onReply] { onReply(without(keyvalue::kv_status::NotSent)); });
+        m_time.after({}, [onReply] { onReply(replyWithStatus(keyvalue::kv_status::NotSent)); });
         return;
     case kv_fate::RequestLost:
         return unknownLater();
@@ -55,9 +55,9 @@
     reply.succeeded
         = std::ranges::all_of(transaction.compares, [this](const auto& compare) { return holds(compare); });
     const auto& branch = reply.succeeded ? transaction.onSuccess : transaction.onFailure;
-    // etcd answers an error, without effect.
+    // etcd replies with an error and applies nothing.
     if (hasDeadLease(branch))
-        return without(keyvalue::kv_status::NotSent);
+        return replyWithStatus(keyvalue::kv_status::NotSent);
     if (std::ranges::any_of(branch, isWrite)) {
         ++m_revision;
         ++m_writes;
--- a/tests/auto/operations/fakekv.h
+++ b/tests/auto/operations/fakekv.h
@@ -9,17 +9,17 @@
 #include <map>
 #include <string>
 
-/// What becomes of one call to the platform.
+/// Outcome of one call to the platform.
 enum class kv_fate {
     Answered,
-    NotSent, ///< refused at once: the platform is down
-    RequestLost, ///< no effect, no answer
-    AnswerLost, ///< effect, no answer
-    LateEffect, ///< "no answer" is reported first, the effect comes later
-    Slow ///< answered after slowDelay
+    NotSent, ///< refused immediately: the platform is down
+    RequestLost, ///< not applied, no reply
+    AnswerLost, ///< applied, no reply
+    LateEffect, ///< reported as unanswered; applied after lateEffectDelay
+    Slow ///< applied after slowDelay / 2; the reply misses callTimeout
 };
 
-/// The platform's key-value service with revisions and leases, in virtual time. Not thread safe.
+/// Fake of the platform's key-value service with revisions and leases, in virtual time. Not thread safe.
 class fake_kv {
 public:
     using reply_handler = std::function<void(const keyvalue::kv_reply&)>;
@@ -29,25 +29,25 @@
     {
     }
 
-    /// Chooses the fate of each call; answers by default.
+    /// Selects the outcome of each call; kv_fate::Answered by default.
     std::function<kv_fate(const keyvalue::kv_transaction&)> fate
         = [](const keyvalue::kv_transaction&) { return kv_fate::Answered; };
 
-    /// When a LateEffect takes effect.
+    /// Delay until a LateEffect call is applied.
     std::function<utils::duration()> lateEffectDelay = [] { return std::chrono::milliseconds(700); };
 
     void call(const keyvalue::kv_transaction& transaction, const reply_handler& onReply);
-    /// Applies at once, without faults.
+    /// Applies the transaction immediately, without faults.
     keyvalue::kv_reply apply(const keyvalue::kv_transaction& transaction);
     std::int64_t grantLease(utils::duration timeToLive);
-    /// Starts the lease's time anew; whether the call went through and the lease still stood.
+    /// Renews the lease. Returns whether the call was answered and the lease still existed.
     bool keepLease(std::int64_t lease);
     bool isLeaseAlive(std::int64_t lease) const { return m_leases.contains(lease); }
     /// Ends the lease and removes its keys.
     void endLease(std::int64_t lease);
     const keyvalue::kv_entry* find(const std::string& key) const;
     const std::map<std::string, keyvalue::kv_entry>& entries() const { return m_entries; }
-    /// Calls that reached the service, and among them those with a write.
+    /// Number of calls that reached the service, and of those that wrote.
     std::uint64_t calls() const { return m_calls; }
     std::uint64_t writes() const { return m_writes; }
 
--- a/tests/auto/operations/paymentbench.cpp
+++ b/tests/auto/operations/paymentbench.cpp
@@ -8,7 +8,7 @@
 
 utils::failure cutFailure(utils::error_kind kind)
 {
-    return { kind, "cut by the fake", {}, {} };
+    return { kind, "connection cut by the fake service", {}, {} };
 }
 
 } // namespace
@@ -40,16 +40,17 @@
     request.wallSeconds = std::chrono::floor<std::chrono::seconds>(m_time.now().time_since_epoch()).count();
     request.runTimeout = runTimeout;
     m_machines[index] = std::make_unique<operations::operation>(m_chart, settings, request);
-    give(index, m_nodes.boot(node), [this](operations::operation& o) { return o.start(m_time.now()); });
+    deliverEvent(
+        index, m_nodes.boot(node), [this](operations::operation& o) { return o.start(m_time.now()); });
     return index;
 }
 
-void payment_bench::give(std::size_t sendingIndex, std::uint64_t boot, const machine_call& call)
+void payment_bench::deliverEvent(std::size_t sendingIndex, std::uint64_t boot, const machine_call& call)
 {
     const std::size_t node = m_sendings[sendingIndex].node;
     m_nodes.deliver(node, boot, [this, sendingIndex, node, boot, call] {
         beforeEvent(sendingIndex);
-        // The hook may have paused or killed the node.
+        // beforeEvent may have paused or killed the node.
         m_nodes.deliver(node, boot, [this, sendingIndex, boot, call] {
             operations::operation& machine = *m_machines.at(sendingIndex);
             const std::string before = machine.state();
@@ -73,7 +74,8 @@
         return performSend(sendingIndex, boot);
     if (const auto* timer = std::get_if<operations::set_timer>(&action)) {
         m_time.after(timer->at - m_time.now(), [this, sendingIndex, boot] {
-            give(sendingIndex, boot, [this](operations::operation& o) { return o.onTimer(m_time.now()); });
+            deliverEvent(
+                sendingIndex, boot, [this](operations::operation& o) { return o.onTimer(m_time.now()); });
         });
         return;
     }
@@ -91,7 +93,7 @@
     std::size_t sendingIndex, std::uint64_t boot, const operations::kv_transact& action)
 {
     m_kv.call(action.transaction, [this, sendingIndex, boot, ticket = action.ticket](const auto& reply) {
-        give(sendingIndex, boot, [this, ticket, reply](operations::operation& o) {
+        deliverEvent(sendingIndex, boot, [this, ticket, reply](operations::operation& o) {
             return o.onKvReply(ticket, reply, m_time.now());
         });
     });
@@ -103,7 +105,7 @@
     m_fates[sendingIndex] = fate;
     const utils::duration delay = fate == service_fate::SlowToReach ? slowReach : networkDelay;
     m_time.after(delay, [this, sendingIndex, boot, fate] {
-        give(sendingIndex, boot, [this, sendingIndex, fate](operations::operation& o) {
+        deliverEvent(sendingIndex, boot, [this, sendingIndex, fate](operations::operation& o) {
             if (fate == service_fate::NotReached)
                 return o.serverNotReached(cutFailure(utils::error_kind::NoServer), m_time.now());
             return o.readyToSend(gate(m_sendings[sendingIndex].node), m_time.now());
@@ -120,14 +122,14 @@
     if (!isCut) {
         const utils::duration delay = fate == service_fate::LateAnswer ? runTimeout * 2 : runTime;
         m_time.after(delay, [this, sendingIndex, boot] {
-            give(sendingIndex, boot, [this, sendingIndex](operations::operation& o) {
+            deliverEvent(sendingIndex, boot, [this, sendingIndex](operations::operation& o) {
                 return o.serverAnswered({ 201, {}, "receipt " + m_sendings[sendingIndex].key }, m_time.now());
             });
         });
     }
     const auto kind = isCut ? utils::error_kind::ServerFailed : utils::error_kind::ServerTimeout;
     m_time.after(isCut ? runTime : runTimeout, [this, sendingIndex, boot, kind] {
-        give(sendingIndex, boot,
+        deliverEvent(sendingIndex, boot,
             [this, kind](operations::operation& o) { return o.serverCut(cutFailure(kind), m_time.now()); });
     });
 }
@@ -156,7 +158,7 @@
     if (s.finalAnswers > 0 || s.isConnectionLost)
         return;
     s.isConnectionLost = true;
-    give(sendingIndex, m_nodes.boot(s.node),
+    deliverEvent(sendingIndex, m_nodes.boot(s.node),
         [this](operations::operation& o) { return o.callerGone(m_time.now()); });
 }
 
--- a/tests/auto/operations/paymentbench.h
+++ b/tests/auto/operations/paymentbench.h
@@ -14,17 +14,17 @@
 #include <string>
 #include <vector>
 
-/// What becomes of one request at the plain service.
+/// Outcome of one request to the fake service.
 enum class service_fate {
     Answered,
     NotReached, ///< no connection
-    CutBefore, ///< the bytes are lost on the way; the connection breaks
-    CutAfter, ///< it runs; the connection breaks before the answer
-    LateAnswer, ///< it runs; the answer comes after the route's time
-    SlowToReach ///< the connection takes long
+    CutBefore, ///< the request is lost and the connection breaks
+    CutAfter, ///< the request runs; the connection breaks before the answer
+    LateAnswer, ///< the request runs; the answer arrives after the run timeout
+    SlowToReach ///< connecting takes slowReach
 };
 
-/// What one caller has seen of one sending.
+/// A sending and the result that its caller has seen.
 struct sending {
     std::string key;
     std::size_t node = 0;
@@ -33,7 +33,7 @@
     std::optional<operations::stored_answer> answer;
     std::optional<utils::failure> failure;
     bool isConnectionLost = false;
-    unsigned runsAtAnswer = 0; ///< the ledger's count for this sending when it was refused
+    unsigned runsAtAnswer = 0; ///< runs of this sending when it was refused
 
     bool saysNotRun() const
     {
@@ -42,12 +42,12 @@
     }
 };
 
-/// Nodes that run operation machines as the daemon does, sharing one platform and one plain service with a
-/// ledger, in virtual time. A paused node gets what came for it when it resumes; a killed one loses its
-/// machines, while bytes that left it still arrive. Not thread safe.
+/// Nodes that run operation state machines as the daemon does. They share one platform and one fake service
+/// with a ledger, in virtual time. A paused node gets its deferred events when it resumes; a killed node
+/// loses its state machines, while bytes that it already sent still arrive. Not thread safe.
 class payment_bench {
 public:
-    /// Precondition: the chart outlives this.
+    /// Precondition: the chart outlives this object.
     payment_bench(const utils::state_chart& chart, std::size_t nodes);
 
     /// Sends a payment through a node; the result is an index into sendings().
@@ -59,20 +59,20 @@
     virtual_time& time() { return m_time; }
     fake_kv& kv() { return m_kv; }
     const std::vector<sending>& sendings() const { return m_sendings; }
-    /// The machine of a sending, or null when its node was killed.
+    /// The state machine of a sending, or null if its node was killed.
     const operations::operation* machine(std::size_t sendingIndex) const;
-    /// Times the service has run the key, and times for one sending.
+    /// How often the service has run the key, and how often for one sending.
     unsigned ledger(const std::string& key) const;
     unsigned ledgerOf(std::size_t sendingIndex) const;
 
     std::function<service_fate(std::size_t sendingIndex)> serviceFate
         = [](std::size_t) { return service_fate::Answered; };
-    /// The refusal of the check right before the send, if any.
+    /// The refusal passed to readyToSend, if any.
     std::function<std::optional<utils::failure>(std::size_t node)> gate
         = [](std::size_t) { return std::optional<utils::failure>(); };
-    /// Called before each event is given to a machine, with the chart's state it is in.
+    /// Called before each event is passed to a state machine.
     std::function<void(std::size_t sendingIndex)> beforeEvent = [](std::size_t) {};
-    /// Called after it, with the chart's state before and the event: "claiming kv_unknown".
+    /// Called after each event with the state before it and the event: "claiming kv_unknown".
     std::function<void(const std::string& step)> afterEvent = [](const std::string&) {};
     operations::operation_settings settings;
 
@@ -84,7 +84,7 @@
 private:
     using machine_call = std::function<operations::operation_actions(operations::operation&)>;
 
-    void give(std::size_t sendingIndex, std::uint64_t boot, const machine_call& call);
+    void deliverEvent(std::size_t sendingIndex, std::uint64_t boot, const machine_call& call);
     void perform(std::size_t sendingIndex, std::uint64_t boot, const operations::operation_action& action);
     void performKv(std::size_t sendingIndex, std::uint64_t boot, const operations::kv_transact& action);
     void performReach(std::size_t sendingIndex, std::uint64_t boot);
--- a/tests/auto/operations/paymentworld.cpp
+++ b/tests/auto/operations/paymentworld.cpp
@@ -22,7 +22,8 @@
 
 void payment_world::drawFates()
 {
-    // Often right behind the report that nothing is known, where it meets the next try.
+    // Half of the late effects come within 30 ms after the 300 ms call timeout, where they race with the
+    // retry.
     m_bench.kv().lateEffectDelay
         = [this] { return std::chrono::milliseconds(draw(2) == 0 ? 300 + draw(30) : 300 + draw(2000)); };
     m_bench.kv().fate = [this](const auto&) {
@@ -70,7 +71,7 @@
         m_bench.nodes().restart(node);
 }
 
-void payment_world::forAWhile(utils::duration span, const std::function<void()>& end)
+void payment_world::endFaultAfter(utils::duration span, const std::function<void()>& end)
 {
     m_bench.time().after(span, end);
 }
@@ -79,19 +80,19 @@
 {
     const auto platform = [this](kv_fate fate, utils::duration span) {
         m_forcedKv = fate;
-        forAWhile(span, [this] { m_forcedKv = kv_fate::Answered; });
+        endFaultAfter(span, [this] { m_forcedKv = kv_fate::Answered; });
     };
     const auto service = [this](service_fate fate, utils::duration span) {
         m_forcedService = fate;
-        forAWhile(span, [this] { m_forcedService = service_fate::Answered; });
+        endFaultAfter(span, [this] { m_forcedService = service_fate::Answered; });
     };
     switch (fault) {
     case matrix_fault::HolderKilled:
         m_bench.kill(node);
-        return forAWhile(1s, [this, node] { m_bench.nodes().restart(node); });
+        return endFaultAfter(1s, [this, node] { m_bench.nodes().restart(node); });
     case matrix_fault::PauseThenResume:
         m_bench.nodes().pause(node);
-        return forAWhile(5s, [this, node] { m_bench.nodes().resumeNewestFirst(node); });
+        return endFaultAfter(5s, [this, node] { m_bench.nodes().resumeNewestFirst(node); });
     case matrix_fault::CutRequest:
         platform(kv_fate::RequestLost, 1s);
         return service(service_fate::CutBefore, 1s);
@@ -113,7 +114,8 @@
         return service(service_fate::CutAfter, 20s);
     case matrix_fault::VmListsDisagree:
     case matrix_fault::TeamSurges:
-        // Two nodes that both hold themselves responsible; a surge of other payments through this one.
+        // Several nodes that each consider themselves responsible, or a surge of other payments through this
+        // node.
         m_bench.time().after({}, [this, node, fault] {
             for (std::size_t i = 0; i < 12; ++i) {
                 const bool isSurge = fault == matrix_fault::TeamSurges;
@@ -124,7 +126,7 @@
         return;
     case matrix_fault::OperatorsRace:
         m_isRevoked = true;
-        return forAWhile(2s, [this] { m_isRevoked = false; });
+        return endFaultAfter(2s, [this] { m_isRevoked = false; });
     case matrix_fault::LeaseLapsed:
     case matrix_fault::Count_:
         return;
@@ -155,11 +157,12 @@
     for (std::size_t index = 0; index < m_bench.sendings().size(); ++index) {
         const sending& s = m_bench.sendings()[index];
         expect(m_bench.ledger(s.key) <= 1, s.key + " ran more than once");
-        expect(s.finalAnswers == (s.isConnectionLost ? 0U : 1U), s.key + ": not one final answer");
+        expect(s.finalAnswers == (s.isConnectionLost ? 0U : 1U), s.key + ": wrong number of final answers");
         expect(!s.saysNotRun() || m_bench.ledgerOf(index) == 0, s.key + ": not_run, but it ran");
-        expect(!s.answer || s.answer->body == "receipt " + s.key, s.key + ": another's answer");
+        expect(
+            !s.answer || s.answer->body == "receipt " + s.key, s.key + ": got the answer of another payment");
         const operations::operation* machine = m_bench.machine(index);
-        expect(machine == nullptr || machine->isFinished(), s.key + ": a machine never ends");
+        expect(machine == nullptr || machine->isFinished(), s.key + ": the state machine did not finish");
     }
     return list;
 }
--- a/tests/auto/operations/paymentworld.h
+++ b/tests/auto/operations/paymentworld.h
@@ -5,10 +5,10 @@
 
 #include <random>
 
-/// Payments, their repeats on other nodes, and every fault drawn at random. Not thread safe.
+/// Random payments, their repeated sendings on other nodes, and random faults. Not thread safe.
 class payment_world : public matrix_world {
 public:
-    /// Precondition: the chart outlives this.
+    /// Precondition: the chart outlives this object.
     payment_world(const utils::state_chart& chart, unsigned seed);
 
     std::vector<std::string> play() override;
@@ -20,7 +20,7 @@
     void settle();
     std::vector<std::string> broken();
     unsigned draw(unsigned below) { return std::uniform_int_distribution<unsigned>(0, below - 1)(m_random); }
-    void forAWhile(utils::duration span, const std::function<void()>& end);
+    void endFaultAfter(utils::duration span, const std::function<void()>& end);
 
     std::mt19937 m_random;
     payment_bench m_bench;
@@ -28,5 +28,5 @@
     service_fate m_forcedService = service_fate::Answered;
     bool m_isRevoked = false;
     bool m_isSettled = false;
-    bool m_isQuiet = false; ///< no random fates
+    bool m_isQuiet = false; ///< no random faults
 };
--- a/tests/auto/operations/placerbench.cpp
+++ b/tests/auto/operations/placerbench.cpp
@@ -27,10 +27,10 @@
     state.machine = std::make_unique<operations::model_placer>(m_chart, settings, identity);
     state.lease = m_kv.grantLease(leaseTime);
     state.leaseEnd = m_time.now() + leaseTime;
-    give(node, [this, node](operations::model_placer& p) {
+    deliverEvent(node, [this, node](operations::model_placer& p) {
         return p.wantedChanged(m_placers[node].wanted, m_revision, m_time.now());
     });
-    give(node, [this, node](operations::model_placer& p) {
+    deliverEvent(node, [this, node](operations::model_placer& p) {
         return p.start(m_placers[node].lease, m_placers[node].leaseEnd, m_time.now());
     });
     tickNode(node);
@@ -48,12 +48,12 @@
 {
     m_nodes.deliver(node, m_nodes.boot(node), [this, node] {
         placer_state& state = m_placers[node];
-        // A node that has left ends its process, and with it its lease.
+        // The process of a node that has left ends, and its lease is no longer kept alive.
         if (state.machine->isFinished())
             return m_nodes.kill(node);
         const utils::time_point end = m_time.now() + leaseTime;
         if (m_time.now() >= state.leaseEnd) {
-            give(node, [this](operations::model_placer& p) { return p.leaseLost(m_time.now()); });
+            deliverEvent(node, [this](operations::model_placer& p) { return p.leaseLost(m_time.now()); });
             if (m_kv.fate({}) == kv_fate::Answered) {
                 state.lease = m_kv.grantLease(leaseTime);
                 state.leaseEnd = end;
@@ -78,17 +78,17 @@
         wanted[server] = { "thesis-summary", version, adapters, operations::engine_role::Mixed };
     m_placers[node].wanted = wanted;
     ++m_revision;
-    give(node, [this, wanted, revision = m_revision](operations::model_placer& p) {
+    deliverEvent(node, [this, wanted, revision = m_revision](operations::model_placer& p) {
         return p.wantedChanged(wanted, revision, m_time.now());
     });
 }
 
-void placer_bench::give(std::size_t node, const machine_call& call)
+void placer_bench::deliverEvent(std::size_t node, const machine_call& call)
 {
     const std::uint64_t boot = m_nodes.boot(node);
     m_nodes.deliver(node, boot, [this, node, boot, call] {
         beforeEvent(node);
-        // The hook may have paused or killed the node.
+        // beforeEvent may have paused or killed the node.
         m_nodes.deliver(node, boot, [this, node, call] {
             operations::model_placer& machine = *m_placers[node].machine;
             const std::string before = machine.state();
@@ -104,7 +104,7 @@
 {
     if (const auto* kv = std::get_if<operations::kv_transact>(&action)) {
         m_kv.call(kv->transaction, [this, node, ticket = kv->ticket](const keyvalue::kv_reply& reply) {
-            give(node, [this, ticket, reply](operations::model_placer& p) {
+            deliverEvent(node, [this, ticket, reply](operations::model_placer& p) {
                 return p.onKvReply(ticket, reply, m_time.now());
             });
         });
@@ -112,7 +112,7 @@
         const std::uint64_t number = ++m_placers[node].timers;
         m_time.after(timer->at - m_time.now(), [this, node, number] {
             if (m_placers[node].timers == number)
-                give(node, [this](operations::model_placer& p) { return p.onTimer(m_time.now()); });
+                deliverEvent(node, [this](operations::model_placer& p) { return p.onTimer(m_time.now()); });
         });
     } else if (std::holds_alternative<operations::read_engines>(action)) {
         read(node);
@@ -120,7 +120,7 @@
         const bool isUp = m_kv.fate({}) == kv_fate::Answered;
         const std::int64_t granted = isUp ? m_kv.grantLease(std::chrono::seconds(lease->seconds)) : 0;
         m_time.after(fake_kv::delay, [this, node, granted] {
-            give(node, [this, granted](operations::model_placer& p) {
+            deliverEvent(node, [this, granted](operations::model_placer& p) {
                 return p.permitLease(granted, m_time.now());
             });
         });
@@ -137,7 +137,7 @@
             if (engine.isUp)
                 running[server] = engine.running;
         }
-        give(node,
+        deliverEvent(node,
             [this, running](operations::model_placer& p) { return p.enginesRead(running, m_time.now()); });
     });
 }
@@ -147,20 +147,21 @@
     const order_fate fate = orderFate();
     const utils::duration reach = fate == order_fate::SlowToReach ? slowReach : engineDelay;
     m_time.after(reach, [this, node, order, fate] {
-        give(node, [this, node, order, fate](operations::model_placer& p) -> operations::placer_actions {
-            if (!p.maySend(m_time.now()))
-                return p.orderFailed(m_time.now());
-            m_time.after(engineDelay, [this, node, order, fate] {
-                const bool isCut = fate == order_fate::CutBefore || fate == order_fate::CutAfter;
-                const bool isDone = fate != order_fate::CutBefore && carryOut(order);
-                give(node, [this, isCut, isDone](operations::model_placer& q) {
-                    if (isCut)
-                        return q.orderFailed(m_time.now());
-                    return isDone ? q.orderDone(m_time.now()) : q.orderRefused(m_time.now());
+        deliverEvent(
+            node, [this, node, order, fate](operations::model_placer& p) -> operations::placer_actions {
+                if (!p.maySend(m_time.now()))
+                    return p.orderFailed(m_time.now());
+                m_time.after(engineDelay, [this, node, order, fate] {
+                    const bool isCut = fate == order_fate::CutBefore || fate == order_fate::CutAfter;
+                    const bool isDone = fate != order_fate::CutBefore && carryOut(order);
+                    deliverEvent(node, [this, isCut, isDone](operations::model_placer& q) {
+                        if (isCut)
+                            return q.orderFailed(m_time.now());
+                        return isDone ? q.orderDone(m_time.now()) : q.orderRefused(m_time.now());
+                    });
                 });
+                return {};
             });
-            return {};
-        });
     });
 }
 
@@ -183,5 +184,5 @@
 
 void placer_bench::leave(std::size_t node)
 {
-    give(node, [this](operations::model_placer& p) { return p.leave(m_time.now()); });
+    deliverEvent(node, [this](operations::model_placer& p) { return p.leave(m_time.now()); });
 }
--- a/tests/auto/operations/placerbench.h
+++ b/tests/auto/operations/placerbench.h
@@ -13,33 +13,34 @@
 #include <string>
 #include <vector>
 
-/// What becomes of one order at its engine.
+/// Outcome of one order to an engine.
 enum class order_fate {
     Answered,
     CutBefore,
-    CutAfter, ///< carried out; the answer is lost
+    CutAfter, ///< applied; the answer is lost
     SlowToReach
 };
 
-/// An engine: what it runs, and every order that it carried out.
+/// A fake engine: what it runs, and the orders that it applied.
 struct fake_engine {
     operations::engine_setup running;
     std::int64_t highestNumber = 0;
-    std::vector<std::int64_t> numbers; ///< fencing numbers of the orders carried out
+    std::vector<std::int64_t> numbers; ///< fencing numbers of the applied orders
     std::vector<utils::time_point> times;
     bool isUp = true;
 };
 
-/// Nodes that run one placer each for the same model, sharing one platform, in virtual time. Not thread safe.
+/// Nodes that run one placer each, by default for the same model, and share one platform, in virtual time.
+/// Not thread safe.
 class placer_bench {
 public:
-    /// Precondition: the chart outlives this.
+    /// Precondition: the chart outlives this object.
     placer_bench(const utils::state_chart& chart, std::size_t nodes, bool honoursFencing,
         const std::vector<std::string>& models = { "thesis-summary" });
 
-    /// The document in force at that node.
+    /// Sets what the document wants at the node.
     void setWanted(std::size_t node, const std::string& version, const std::set<std::string>& adapters = {});
-    /// The node stops for good, or until restart with a new machine.
+    /// Stops the node until restart, which creates a new state machine.
     void kill(std::size_t node);
     void restart(std::size_t node);
     /// The platform ends the node's lease early.
@@ -52,9 +53,9 @@
     std::map<utils::server_id, fake_engine>& engines() { return m_engines; }
     const operations::model_placer& placer(std::size_t node) const { return *m_placers.at(node).machine; }
     std::function<order_fate()> orderFate = [] { return order_fate::Answered; };
-    /// Called before each event is given to a machine.
+    /// Called before each event is passed to a state machine.
     std::function<void(std::size_t node)> beforeEvent = [](std::size_t) {};
-    /// Called after it, with the chart's state before and the event.
+    /// Called after each event with the state before it and the event.
     std::function<void(const std::string& step)> afterEvent = [](const std::string&) {};
     operations::placer_settings settings;
 
@@ -75,7 +76,7 @@
 
     void startNode(std::size_t node);
     void tickNode(std::size_t node);
-    void give(std::size_t node, const machine_call& call);
+    void deliverEvent(std::size_t node, const machine_call& call);
     void perform(std::size_t node, const operations::placer_action& action);
     void read(std::size_t node);
     void order(std::size_t node, const operations::engine_order& order);
@@ -87,7 +88,7 @@
     fake_kv m_kv { m_time };
     bench_nodes m_nodes;
     bool m_honoursFencing;
-    utils::config_revision m_revision = 0; ///< one for each setWanted
+    utils::config_revision m_revision = 0; ///< incremented by each setWanted
     std::vector<placer_state> m_placers;
     std::map<utils::server_id, fake_engine> m_engines;
 };
--- a/tests/auto/operations/placerworld.cpp
+++ b/tests/auto/operations/placerworld.cpp
@@ -30,7 +30,8 @@
             return m_forcedOrder;
         return static_cast<order_fate>(draw(static_cast<unsigned>(order_fate::SlowToReach) + 1));
     };
-    // Often right behind the report that nothing is known, where it meets the next try.
+    // Half of the late effects come within 30 ms after the 300 ms call timeout, where they race with the
+    // retry.
     m_bench.kv().lateEffectDelay
         = [this] { return std::chrono::milliseconds(draw(2) == 0 ? 300 + draw(30) : 300 + draw(2000)); };
     setAllWanted();
@@ -55,7 +56,7 @@
     const unsigned what = draw(20);
     const std::size_t node = draw(nodeCount);
     if (what < 3) {
-        // Taking an adapter away needs no weights, a version or another adapter does.
+        // Removing an adapter fetches no weights; a new version or adapter does.
         if (draw(2) == 0)
             m_adapters = m_adapters.empty() ? std::set<std::string> { "quotes" } : std::set<std::string>();
         else
@@ -120,7 +121,7 @@
         m_bench.engines().begin()->second.isUp = false;
         return m_bench.time().after(5s, [this] { m_bench.engines().begin()->second.isUp = true; });
     case matrix_fault::OperatorsRace:
-        // The nodes have different revisions of the document for a while.
+        // The nodes have different revisions of the document for 5 s.
         return m_bench.time().after({}, [this] {
             for (std::size_t each = 0; each < nodeCount; ++each)
                 m_bench.setWanted(each, std::to_string(++m_version), m_adapters);
@@ -139,7 +140,7 @@
     m_bench.time().advance(60s);
     for (std::size_t node = 0; node < nodeCount; ++node) {
         m_bench.nodes().resume(node);
-        // One that has left or was killed comes back as a new process.
+        // A node that has left or was killed restarts as a new process.
         if (m_bench.placer(node).isFinished())
             m_bench.kill(node);
         m_bench.restart(node);
@@ -156,7 +157,7 @@
         if (engine.running.version != std::to_string(m_version))
             list.push_back(server.str() + " does not run what the document wants");
         if (m_honoursFencing && !std::ranges::is_sorted(engine.numbers))
-            list.push_back(server.str() + " carried out an order of a former holder");
+            list.push_back(server.str() + " applied an order of a former holder");
     }
     return list;
 }
--- a/tests/auto/operations/placerworld.h
+++ b/tests/auto/operations/placerworld.h
@@ -5,11 +5,11 @@
 
 #include <random>
 
-/// Placers of one pool, and every fault drawn at random. Not thread safe.
+/// Placers of one pool with random document changes and random faults. Not thread safe.
 class placer_world : public matrix_world {
 public:
-    /// Even seeds: the engines honour the fencing number; odd ones: they ignore it. Precondition: the chart
-    /// outlives this.
+    /// With even seeds the engines honour the fencing number, with odd seeds they ignore it. Precondition:
+    /// the chart outlives this object.
     placer_world(const utils::state_chart& chart, unsigned seed);
 
     std::vector<std::string> play() override;
@@ -31,5 +31,5 @@
     order_fate m_forcedOrder = order_fate::Answered;
     unsigned m_version = 1;
     std::set<std::string> m_adapters;
-    bool m_isQuiet = false; ///< no random fates
+    bool m_isQuiet = false; ///< no random faults
 };
--- a/tests/auto/operations/tst_histories.cpp
+++ b/tests/auto/operations/tst_histories.cpp
@@ -41,7 +41,7 @@
     return chart;
 }
 
-/// One step of a history. What `value` means depends on the kind.
+/// One step of a history. The meaning of `value` depends on the kind.
 struct history_step {
     enum class kind {
         Send,
@@ -65,7 +65,7 @@
                << ')';
 }
 
-/// A history, and the seed of the fates of its calls.
+/// A sequence of steps, and the seed that draws the outcomes of its calls.
 struct history {
     std::vector<history_step> steps;
     unsigned seed = 0;
@@ -79,7 +79,7 @@
     return out;
 }
 
-/// Sums over all histories: shows that the faults bite.
+/// Sums over all histories; printed to show that the faults have an effect.
 struct totals {
     std::size_t payments = 0;
     std::size_t sendings = 0;
@@ -100,7 +100,7 @@
         rc::gen::set(&history_step::node, rc::gen::inRange<std::size_t>(0, nodeCount)));
 }
 
-/// Every key is sent sendingsPerKey times at random places among the other steps.
+/// Sends every key sendingsPerKey times at random positions among the other steps.
 rc::Gen<history> historyGenerator()
 {
     const auto steps = rc::gen::container<std::vector<history_step>>(250, stepGenerator());
@@ -174,7 +174,7 @@
     }
 }
 
-/// Ends all faults and waits until every machine is done.
+/// Ends all faults, resumes all nodes and advances the time so that every state machine can finish.
 void settle(payment_bench& bench)
 {
     bench.kv().fate = [](const auto&) { return kv_fate::Answered; };
@@ -203,7 +203,7 @@
     RC_ASSERT(bench.ledger(s.key) <= 1U);
 }
 
-/// A key whose callers have only heard not_run must run when sent again.
+/// A key whose sendings were all answered not_run must run when sent again.
 void checkNotRunMayBeRepeated(payment_bench& bench)
 {
     std::set<std::string> unclear;
@@ -275,7 +275,7 @@
                 kv_fate::Slow });
     };
     bench.engineFate = [&random](const operations::draft_record& record) {
-        // At most two crashes of a draft: a third would be its final answer.
+        // At most two crashes per draft: a third crash would become its final answer.
         if (record.crashes >= 2)
             return engine_fate::Answered;
         return drawFate<engine_fate>(random, { engine_fate::Cut, engine_fate::NotRun });
@@ -315,8 +315,8 @@
 BOOST_AUTO_TEST_CASE(accepted_drafts_have_their_answers_in_random_histories)
 {
     // Drafts are sent through four nodes that are paused, resumed, killed, restarted and told to leave, while
-    // a quarter of the platform's calls fail and engines crash. Each caller must hear once; each accepted
-    // draft must have its whole answer in the end; one refused as not_run must not be in the platform.
+    // a quarter of the platform calls fail and engines crash. Each connected caller must get one answer; each
+    // accepted draft must have its complete answer in the end; a draft refused as not_run must not be stored.
     std::size_t accepted = 0;
     std::size_t refused = 0;
     std::size_t lost = 0;
@@ -348,8 +348,8 @@
 {
     // Callers send each payment three times through four nodes, while nodes are paused, resumed, killed and
     // restarted, the platform loses requests and answers or lets writes take effect late, and the service
-    // is cut either way. Each caller must get one answer, no payment may run twice, and none may run in
-    // a sending that was answered not_run.
+    // connection breaks before or after the request ran. Each connected caller must get one answer, no
+    // payment may run twice, and no sending that was answered not_run may have run its payment.
     totals sum;
     unsigned histories = 0;
     const bool holds = rc::check("at most once", [&] {
--- a/tests/auto/operations/tst_modelplacer.cpp
+++ b/tests/auto/operations/tst_modelplacer.cpp
@@ -25,7 +25,7 @@
         bench.engines(), [&](const auto& item) { return item.second.running.version == version; });
 }
 
-/// Whether no engine has carried out an order with a lower number after a higher one.
+/// Whether no engine applied an order with a lower fencing number after one with a higher number.
 bool numbersOnlyGrow(placer_bench& bench)
 {
     return std::ranges::all_of(
@@ -61,8 +61,8 @@
 
 BOOST_AUTO_TEST_CASE(a_holder_paused_past_its_lease_orders_nothing_even_where_engines_ignore_the_number)
 {
-    // Node 0 holds the claim, is paused with an order on its way to be sent, and its lease lapses. Node 1
-    // orders version 8. Node 0 wakes with version 7 in mind: it must look at its clock and not send.
+    // Node 0 holds the claim and is paused before it sends an order for version 7; its lease expires. Node 1
+    // orders version 8. When node 0 resumes, it must check its clock and not send its outdated order.
     placer_bench bench(orderChart(), 2, false);
     bench.setWanted(0, "7");
     bench.setWanted(1, "8");
@@ -82,8 +82,8 @@
 
 BOOST_AUTO_TEST_CASE(a_slow_connection_does_not_let_an_order_out_after_the_margin)
 {
-    // The platform goes down while node 0 connects to an engine for 12 s. The lease's end comes near by
-    // node 0's clock; the order must not leave in the last 5 s of the lease.
+    // The platform goes down while node 0 needs 12 s to connect to an engine, so its lease is not renewed. By
+    // node 0's clock, the order must not be sent in the last 5 s of the lease.
     placer_bench bench(orderChart(), 1, false);
     bench.orderFate = [] { return order_fate::SlowToReach; };
     bench.setWanted(0, "7");
@@ -115,8 +115,8 @@
 
 BOOST_AUTO_TEST_CASE(fetches_share_one_rate_over_all_models)
 {
-    // Six placers keep ordering engines that must fetch weights each time. The store serves two fetches in
-    // 30 s; without the slots all would start at once and slow each other below use.
+    // Six placers keep sending orders that each fetch weights. The store serves two fetches per 30 s; without
+    // the weight slots all fetches would start at once and become too slow to be usable.
     const std::vector<std::string> models { "a", "b", "c", "d", "e", "f" };
     placer_bench bench(orderChart(), models.size(), false, models);
     std::vector<utils::time_point> times;
@@ -131,7 +131,7 @@
         BOOST_TEST((times[i] - times[i - 2] >= 29s));
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_engines_hottest_prefixes_go_where_their_chats_will)
+BOOST_AUTO_TEST_CASE(hottest_prefixes_of_a_leaving_engine_move_to_the_engines_of_returning_chats)
 {
     const std::vector<utils::server_id> staying { utils::server_id("e2"), utils::server_id("e3") };
     const auto moves
--- a/tests/auto/operations/tst_operation.cpp
+++ b/tests/auto/operations/tst_operation.cpp
@@ -29,8 +29,8 @@
 
 BOOST_AUTO_TEST_CASE(a_payment_runs_once_and_its_answer_is_kept_for_another_node)
 {
-    // The caller gets its receipt from node 0, loses it, and sends the payment again to node 1.
-    // Node 1 must answer the same receipt without running the payment.
+    // A payment runs through node 0 and is sent again to node 1 with the same key.
+    // Node 1 must return the stored receipt without running the payment again.
     payment_bench bench(operationChart(), 2);
     const std::size_t first = bench.send("order-1", 0);
     bench.time().advance(1s);
@@ -70,8 +70,8 @@
 
 BOOST_AUTO_TEST_CASE(a_claim_whose_answer_was_lost_is_read_back_and_runs)
 {
-    // The platform takes the claim, its answer is lost. Without reading back, the caller would hear
-    // may_have_run about a payment that nobody sent.
+    // The platform applies the claim, but its reply is lost. Without reading the record back, the caller
+    // would get may_have_run for a payment that was never sent.
     payment_bench bench(operationChart(), 1);
     int calls = 0;
     bench.kv().fate = [&](const auto&) { return calls++ == 0 ? kv_fate::AnswerLost : kv_fate::Answered; };
@@ -83,8 +83,8 @@
 
 BOOST_AUTO_TEST_CASE(a_holder_paused_before_the_send_closes_its_record_and_the_next_sending_runs)
 {
-    // Node 0 claims and is paused before the request leaves; it wakes long after the dispatch window.
-    // Its caller has given up and must hear not_run at most; a later sending through node 1 must run.
+    // Node 0 claims the record, is paused before it sends the request, and resumes long after the dispatch
+    // window. It must answer not_run without sending; a later sending through node 1 must run.
     payment_bench bench(operationChart(), 2);
     const std::size_t first = bench.send("order-1", 0);
     bench.time().advance(7ms);
--- a/tests/auto/operations/tst_operationbatcher.cpp
+++ b/tests/auto/operations/tst_operationbatcher.cpp
@@ -26,7 +26,7 @@
     return transaction;
 }
 
-/// A batcher wired to a platform in virtual time, as the daemon does it.
+/// A batcher connected to a fake platform in virtual time, as in the daemon.
 class batcher_bench {
 public:
     batcher_bench(virtual_time& time, fake_kv& kv, const operations::batch_settings& settings = {})
@@ -67,7 +67,7 @@
     operations::operation_batcher m_batcher;
 };
 
-/// Platform writes for each payment (a claim and an answer), and the payments a second that fit 300 writes.
+/// Platform writes per payment (a claim and an answer), and the payments per second at 300 writes per second.
 double writesPerPayment(double paymentsPerSecond, unsigned nodes, utils::duration window, unsigned seconds)
 {
     operations::batch_settings settings;
@@ -105,8 +105,8 @@
 
 BOOST_AUTO_TEST_CASE(an_items_failed_compare_does_not_fail_the_others)
 {
-    // Three payments share a transaction; the key of the second is taken. Its caller must hear so, and the
-    // other two must have their claims all the same.
+    // Three payments share a transaction and the key of the second is already taken. The second must get the
+    // existing entry as its reply, and the claims of the other two must still be written.
     virtual_time time;
     fake_kv kv(time);
     kv.apply(write("b", 0, "taken"));
@@ -152,8 +152,8 @@
 
 BOOST_AUTO_TEST_CASE(a_slow_platform_leaves_the_queue_bounded)
 {
-    // The platform does not answer while payments go on. What does not fit is refused as not sent, at once,
-    // so that the callers hear not_run instead of waiting.
+    // The platform does not answer while payments keep arriving. Items that exceed the queue limit must get
+    // NotSent immediately, so that their callers get not_run instead of waiting.
     virtual_time time;
     fake_kv kv(time);
     kv.fate = [](const auto&) { return kv_fate::RequestLost; };
@@ -171,10 +171,10 @@
     BOOST_TEST(bench.replies.size() == 100U);
 }
 
-BOOST_AUTO_TEST_CASE(writes_for_each_payment_by_where_payments_meet)
+BOOST_AUTO_TEST_CASE(writes_per_payment_by_number_of_nodes)
 {
-    // What callers get: payments beyond the platform's writes are refused. Spread over many nodes, payments
-    // seldom meet in a batch; sent on to a few nodes they do.
+    // Payments beyond the platform's write capacity are refused. Payments spread over many nodes seldom share
+    // a batch; payments forwarded to a few nodes do.
     std::cout << "window ms  payments/s  nodes  writes/payment  writes/s\n";
     const auto measure = [](std::chrono::milliseconds window, double rate, unsigned nodes) {
         const double writes = writesPerPayment(rate, nodes, window, 10);
--- a/tests/auto/operations/virtualtime.h
+++ b/tests/auto/operations/virtualtime.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <utility>
 
-/// Runs callbacks in the order of their virtual times. Not thread safe.
+/// Runs callbacks in the order of their virtual due times. Not thread safe.
 class virtual_time {
 public:
     utils::time_point now() const { return m_now; }
@@ -17,7 +17,7 @@
         m_queue.emplace(m_now + std::max(delay, utils::duration()), std::move(callback));
     }
 
-    /// Runs what is due within `span`, then stands at its end.
+    /// Runs the callbacks due within `span`, then sets the clock to its end.
     void advance(utils::duration span)
     {
         const utils::time_point end = m_now + span;
