--- a/src/libs/operations/operation.cpp
+++ b/src/libs/operations/operation.cpp
@@ -304,7 +304,7 @@
     if (m_found->answer)
         return emit(answer_caller { *m_found->answer, true });
     refuse({ utils::error_kind::OperationOutcomeUnknown,
-        "the request ran, but its answer was too large to store", utils::run_state::Ran, {} });
+        "it ran; its answer was too large to keep", utils::run_state::Ran, {} });
 }
 
 void operation::refuseNotRun(utils::time_point /*now*/)
@@ -315,7 +315,7 @@
 void operation::refuseMayHaveRun(utils::time_point /*now*/)
 {
     refuse({ utils::error_kind::OperationOutcomeUnknown,
-        "the record could not be closed: the platform does not answer", {}, {} });
+        "its record could not be closed: the platform does not answer", {}, {} });
 }
 
 void operation::refuseCut(utils::time_point /*now*/)
