--- a/src/libs/operations/operation.cpp
+++ b/src/libs/operations/operation.cpp
@@ -303,8 +303,8 @@
 {
     if (m_found->answer)
         return emit(answer_caller { *m_found->answer, true });
-    refuse({ utils::error_kind::OperationOutcomeUnknown,
-        "it ran; its answer was too large to keep", utils::run_state::Ran, {} });
+    refuse({ utils::error_kind::OperationOutcomeUnknown, "it ran; its answer was too large to keep",
+        utils::run_state::Ran, {} });
 }
 
 void operation::refuseNotRun(utils::time_point /*now*/)
