--- a/src/libs/operations/draft.cpp
+++ b/src/libs/operations/draft.cpp
@@ -29,7 +29,7 @@
     : chart_machine(chart)
     , m_settings(settings)
     , m_identity(std::move(identity))
-    , m_limit(utils::time_point::max())
+    , m_acceptDeadline(utils::time_point::max())
     , m_retryDelay(settings.retryFirst)
     , m_restDelay(settings.restFirst)
 {
@@ -63,7 +63,7 @@
     return actions;
 }
 
-draft_actions draft::take(std::string_view event, utils::time_point now)
+draft_actions draft::handleEvent(std::string_view event, utils::time_point now)
 {
     step(event, now);
     return takeActions();
@@ -74,9 +74,9 @@
     m_request = std::move(request);
     m_claimNow = claimNow && m_identity.sessionLease != 0;
     if (m_request.teamLimit == 0)
-        return take("over_quota", now);
+        return handleEvent("over_quota", now);
     if (m_request.body.size() > m_settings.maxBody)
-        return take("too_large", now);
+        return handleEvent("too_large", now);
     m_record.nonce = m_identity.nonce;
     m_record.team = m_request.team;
     m_record.teamSlot = static_cast<unsigned>(utils::hash64(m_request.name) % m_request.teamLimit);
@@ -86,27 +86,27 @@
         m_record.claims = 1;
         m_record.claimNonce = m_identity.nonce;
     }
-    return take("submit", now);
+    return handleEvent("submit", now);
 }
 
 draft_actions draft::adopt(unsigned slot, utils::time_point now)
 {
     m_slot = slot;
-    return take("adopt", now);
+    return handleEvent("adopt", now);
 }
 
 draft_actions draft::onKvReply(std::uint64_t ticket, const keyvalue::kv_reply& reply, utils::time_point now)
 {
     if (ticket != m_lastTicket || m_pending == pending::Nothing)
         return {};
-    return take(eventOf(reply), now);
+    return handleEvent(eventOf(reply), now);
 }
 
 draft_actions draft::onTimer(utils::time_point now)
 {
-    if (now < m_due)
+    if (now < m_timerDue)
         return {};
-    return take(now >= m_limit ? "limit" : "retry", now);
+    return handleEvent(now >= m_acceptDeadline ? "limit" : "retry", now);
 }
 
 draft_actions draft::answered(stored_answer answer, utils::time_point now)
@@ -114,13 +114,13 @@
     if (state() != "running")
         return {};
     if (answer.body.size() > m_settings.maxAnswer) {
-        keepFailure({ utils::error_kind::ServerFailed, "it ran; its answer was too large to keep",
+        setFailure({ utils::error_kind::ServerFailed, "it ran; its answer was too large to keep",
             utils::run_state::Ran, {} });
-        return take("rejected", now);
+        return handleEvent("rejected", now);
     }
     m_record.state = draft_state::Done;
     m_record.answer = std::move(answer);
-    return take("answered", now);
+    return handleEvent("answered", now);
 }
 
 draft_actions draft::crashed(const utils::failure& why, utils::time_point now)
@@ -129,42 +129,43 @@
         return {};
     ++m_record.crashes;
     if (m_record.crashes < m_settings.maxCrashes)
-        return take("crashed", now);
-    keepFailure(why);
-    return take("crashed_last", now);
+        return handleEvent("crashed", now);
+    setFailure(why);
+    return handleEvent("crashed_last", now);
 }
 
 draft_actions draft::notRun(utils::time_point now)
 {
-    return take("not_run", now);
+    return handleEvent("not_run", now);
 }
 
 draft_actions draft::rejected(const utils::failure& why, utils::time_point now)
 {
     if (state() != "running")
         return {};
-    keepFailure(why);
-    return take("rejected", now);
+    setFailure(why);
+    return handleEvent("rejected", now);
 }
 
 draft_actions draft::claimLost(utils::time_point now)
 {
-    return take("claim_lost", now);
+    return handleEvent("claim_lost", now);
 }
 
 draft_actions draft::leave(utils::time_point now)
 {
-    return take("leave", now);
+    return handleEvent("leave", now);
 }
 
 std::string_view draft::eventOf(const keyvalue::kv_reply& reply)
 {
     const pending what = std::exchange(m_pending, pending::Nothing);
-    m_isUnclear = m_isUnclear || (what == pending::Accept && reply.status == keyvalue::kv_status::Unknown);
+    m_isWriteAmbiguous
+        = m_isWriteAmbiguous || (what == pending::Accept && reply.status == keyvalue::kv_status::Unknown);
     if (reply.status != keyvalue::kv_status::Done) {
-        // After an unclear write not even "not sent" says that there is no draft.
-        const bool isSure = reply.status == keyvalue::kv_status::NotSent && !m_isUnclear;
-        return isSure ? "kv_not_sent" : "kv_unknown";
+        // After an earlier write with unknown outcome, even NotSent does not prove that there is no draft.
+        const bool isCertainlyNotSent = reply.status == keyvalue::kv_status::NotSent && !m_isWriteAmbiguous;
+        return isCertainlyNotSent ? "kv_not_sent" : "kv_unknown";
     }
     m_retryDelay = m_settings.retryFirst;
     if (what == pending::List)
@@ -200,7 +201,7 @@
     if (found->state != draft_state::Waiting)
         return "accepted";
     m_revision = entry->modRevision;
-    // Another node may have adopted it meanwhile.
+    // Another node may have adopted the draft in the meantime.
     return found->claimNonce == m_record.claimNonce ? accepted : "accepted";
 }
 
@@ -216,7 +217,7 @@
         m_record.teamSlot = candidate;
         return "team_listed";
     }
-    return m_isUnclear ? "limit" : "team_full";
+    return m_isWriteAmbiguous ? "limit" : "team_full";
 }
 
 std::string_view draft::eventOfDraft(const keyvalue::kv_reply& reply)
@@ -249,7 +250,7 @@
     return isOwnWrite(what, reply) ? "written" : "compare_failed";
 }
 
-/// Whether the compare failed because an earlier try of the same write took effect.
+/// Whether the compare failed because an earlier attempt of the same write took effect.
 bool draft::isOwnWrite(pending what, const keyvalue::kv_reply& reply)
 {
     const keyvalue::kv_entry* entry = findEntry(reply, draftKey(m_slot));
@@ -267,21 +268,21 @@
     transaction.onFailure.emplace_back(keyvalue::kv_get { draftKey(m_slot), {}, 0 });
     m_pending = what;
     emit(kv_transact { ++m_lastTicket, std::move(transaction), false });
-    // A retry's timer has replaced the one that ends the caller's wait.
-    if (m_limit != utils::time_point::max())
-        setTimer(m_limit);
+    // The retry timer has replaced the accept timeout; set it again.
+    if (m_acceptDeadline != utils::time_point::max())
+        setTimer(m_acceptDeadline);
 }
 
 void draft::setTimer(utils::time_point at)
 {
-    m_due = at;
+    m_timerDue = at;
     emit(set_timer { at });
 }
 
 void draft::armAccept(utils::time_point now)
 {
-    m_limit = now + m_settings.acceptWindow;
-    setTimer(m_limit);
+    m_acceptDeadline = now + m_settings.acceptWindow;
+    setTimer(m_acceptDeadline);
 }
 
 void draft::pickSlot(utils::time_point /*now*/)
@@ -323,7 +324,7 @@
 
 void draft::acceptDraft(utils::time_point /*now*/)
 {
-    m_limit = utils::time_point::max();
+    m_acceptDeadline = utils::time_point::max();
     emit(accept_draft { m_record.id });
 }
 
@@ -345,13 +346,13 @@
 
 void draft::refuseUnclear(utils::time_point /*now*/)
 {
-    m_isUnclear = true;
+    m_isWriteAmbiguous = true;
     refuse({ utils::error_kind::PlatformUnavailable, "the draft may have been accepted", {}, {} });
 }
 
 void draft::refuse(utils::failure failure)
 {
-    if (m_isUnclear)
+    if (m_isWriteAmbiguous)
         failure.run = utils::run_state::MayHaveRun;
     emit(refuse_caller { std::move(failure) });
 }
@@ -394,10 +395,10 @@
 
 void draft::keepExhausted(utils::time_point /*now*/)
 {
-    keepFailure({ utils::error_kind::ServerFailed, "every node that ran it went away", {}, {} });
+    setFailure({ utils::error_kind::ServerFailed, "every node that ran it went away", {}, {} });
 }
 
-void draft::keepFailure(const utils::failure& why)
+void draft::setFailure(const utils::failure& why)
 {
     m_record.state = draft_state::Failed;
     m_record.failure = why;
@@ -412,7 +413,7 @@
 
 void draft::sealSlot(utils::time_point /*now*/)
 {
-    m_limit = utils::time_point::max();
+    m_acceptDeadline = utils::time_point::max();
     draft_record sealed = m_record;
     sealed.state = draft_state::Sealed;
     sealed.body.clear();
@@ -436,7 +437,7 @@
 
 void draft::retryLater(utils::time_point now)
 {
-    setTimer(std::min(now + m_retryDelay, m_limit));
+    setTimer(std::min(now + m_retryDelay, m_acceptDeadline));
     m_retryDelay = std::min(m_retryDelay * 2, m_settings.retryMost);
 }
 
--- a/src/libs/operations/draftrecord.cpp
+++ b/src/libs/operations/draftrecord.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::array<std::string_view, 5> stateNames { "waiting", "done", "failed", "cancelled", "sealed" };
 
-std::string number(unsigned value)
+std::string zeroPadded(unsigned value)
 {
     std::array<char, 16> text {};
     (void)std::snprintf(text.data(), text.size(), "%05u", value);
@@ -104,7 +104,7 @@
 
 std::string draftKey(unsigned slot)
 {
-    return "drafts/" + number(slot);
+    return "drafts/" + zeroPadded(slot);
 }
 
 std::string draftTeamPrefix(const utils::team_id& team)
@@ -114,27 +114,27 @@
 
 std::string draftTeamKey(const utils::team_id& team, unsigned teamSlot)
 {
-    return draftTeamPrefix(team) + number(teamSlot);
+    return draftTeamPrefix(team) + zeroPadded(teamSlot);
 }
 
 std::string draftWorkPrefix(unsigned shard)
 {
-    return "draftwork/" + number(shard) + "/";
+    return "draftwork/" + zeroPadded(shard) + "/";
 }
 
 std::string draftClaimPrefix(unsigned shard)
 {
-    return "draftclaims/" + number(shard) + "/";
+    return "draftclaims/" + zeroPadded(shard) + "/";
 }
 
 std::string draftWorkKey(unsigned slot)
 {
-    return draftWorkPrefix(slot % draftShards) + number(slot);
+    return draftWorkPrefix(slot % draftShards) + zeroPadded(slot);
 }
 
 std::string draftClaimKey(unsigned slot)
 {
-    return draftClaimPrefix(slot % draftShards) + number(slot);
+    return draftClaimPrefix(slot % draftShards) + zeroPadded(slot);
 }
 
 std::string endOfPrefix(std::string prefix)
@@ -170,8 +170,8 @@
     if (reply.entries.empty())
         return utils::fail(utils::error_kind::DraftUnknown, {});
     std::optional<draft_record> record = decodeDraftRecord(reply.entries.front().value);
-    const bool isOther = !record || record->id != id || record->team != team;
-    if (isOther || record->state == draft_state::Sealed)
+    const bool isMismatch = !record || record->id != id || record->team != team;
+    if (isMismatch || record->state == draft_state::Sealed)
         return utils::fail(utils::error_kind::DraftUnknown, {});
     return *std::move(record);
 }
--- a/src/libs/operations/draftscanner.cpp
+++ b/src/libs/operations/draftscanner.cpp
@@ -44,11 +44,11 @@
 {
     std::vector<scan_shard> scans;
     for (unsigned shard = 0; shard < draftShards; ++shard) {
-        // Ranks are looked up at the first rank's pace only: hashing every node's name costs more than the
-        // rest.
-        if (now - m_lastLook.at(shard) < m_settings.interval)
+        // Computes the rank at most once per interval: hashing the name of every node costs more than the
+        // rest of the scan.
+        if (now - m_lastRankCheck.at(shard) < m_settings.interval)
             continue;
-        m_lastLook.at(shard) = now;
+        m_lastRankCheck.at(shard) = now;
         const std::size_t rank = rankOf(m_self, nodes, shard);
         if (rank >= m_settings.ranks)
             continue;
@@ -64,7 +64,7 @@
 }
 
 std::vector<unsigned> draft_scanner::adoptable(
-    const keyvalue::kv_reply& reply, const std::set<unsigned>& running, std::size_t room)
+    const keyvalue::kv_reply& reply, const std::set<unsigned>& running, std::size_t maxCount)
 {
     std::set<unsigned> claimed = running;
     for (const keyvalue::kv_entry& entry : reply.entries) {
@@ -76,7 +76,7 @@
     for (const keyvalue::kv_entry& entry : reply.entries) {
         const std::optional<unsigned> slot = slotOfKey(entry.key);
         const bool isMarker = entry.key.starts_with("draftwork/");
-        if (isMarker && slot && !claimed.contains(*slot) && slots.size() < room)
+        if (isMarker && slot && !claimed.contains(*slot) && slots.size() < maxCount)
             slots.push_back(*slot);
     }
     return slots;
