--- a/src/libs/operators/nodeview.h
+++ b/src/libs/operators/nodeview.h
@@ -11,26 +11,26 @@
 
 namespace operators {
 
-/// One lycheefrontd as this node sees it.
+/// A lycheefrontd node as seen by this node.
 struct node_status {
     utils::node_id id;
     utils::data_centre_id dataCentre;
     std::string state; ///< "alive", "suspect", "dead" or "leaving"
     bool isCurrent = false;
-    utils::config_revision revision = 0; ///< in force there
+    utils::config_revision revision = 0; ///< in force on that node
 };
 
-/// One backend server as this node sees it.
+/// A backend server as seen by this node.
 struct server_status {
     utils::server_id id;
     utils::pool_id pool;
     std::string state; ///< "serving", "joining", "leaving", "ejected" or "unreachable"
-    utils::node_id home; ///< the node that admits its requests
+    utils::node_id home; ///< node that admits its requests
     unsigned inProgress = 0;
     unsigned slots = 0;
 };
 
-/// One queue of this node.
+/// A request queue of this node.
 struct queue_status {
     utils::pool_id pool;
     std::string priority;
@@ -38,7 +38,7 @@
     utils::duration oldest {};
 };
 
-/// What `lycheefrontctl status` shows.
+/// Contents of `lycheefrontctl status`.
 struct fleet_status {
     utils::node_id self;
     bool isCurrent = false;
@@ -46,54 +46,54 @@
     std::vector<node_status> nodes;
     std::vector<server_status> servers;
     std::vector<queue_status> queues;
-    double cacheReuse = 0; ///< share of prompt tokens found in a cache, 0 to 1
-    double loadSkew = 0; ///< highest load by the mean
+    double cacheReuse = 0; ///< share of prompt tokens served from a cache, 0 to 1
+    double loadSkew = 0; ///< highest load divided by the mean load
     double controlBytesPerSecond = 0;
 };
 
-/// A question of `lycheefrontctl explain`; either a chat or a request that was refused.
+/// Query of `lycheefrontctl explain`, for a chat or for a request that was refused.
 struct explain_query {
     utils::team_id team;
     std::string model;
-    std::string chat; ///< names the chat, as the caller does
+    std::string chat; ///< name of the chat as sent by the caller
 };
 
-/// One step of the decision, in order.
+/// One step of a routing decision; steps are listed in order.
 struct explain_step {
     std::string step; ///< e.g. "approval", "ranking", "load bound"
     std::string finding;
 };
 
-/// Which nodes have a revision in force.
+/// Number of VMs that have a revision in force.
 struct spread_status {
     unsigned acknowledged = 0;
-    unsigned listed = 0; ///< VMs of the region by the list
+    unsigned listed = 0; ///< VMs in the region's list
 
     bool isMajority() const { return acknowledged * 2 > listed; }
 };
 
-/// One draft kept in the platform.
+/// A draft stored in the platform.
 struct draft_status {
     std::string id;
     utils::team_id team;
-    std::string state; ///< of the draft's chart
-    std::int64_t wallSeconds = 0; ///< UTC, when it was accepted
+    std::string state; ///< stored state, e.g. "waiting" or "done"
+    std::int64_t wallSeconds = 0; ///< UTC time of acceptance, in seconds since 1970
     std::uint64_t bytes = 0;
 };
 
-/// What a node knows and the configuration does not say; the daemon implements it. Called on the daemon's
-/// executor only.
+/// Runtime state of a node that the configuration does not contain. Implemented by the daemon; call it only
+/// on the daemon's executor.
 class node_view {
 public:
     virtual ~node_view() = default;
 
     virtual fleet_status status() = 0;
     virtual boost::asio::awaitable<std::vector<explain_step>> explain(explain_query query) = 0;
-    /// Waits until a majority of the region's listed VMs has the revision in force, at most `limit`.
+    /// Waits until a majority of the region's listed VMs has the revision in force, for at most `limit`.
     virtual boost::asio::awaitable<spread_status> waitInForce(
         utils::config_revision revision, utils::duration limit)
         = 0;
-    /// The drafts of a team, of all teams if it is empty.
+    /// The drafts of a calling team; of all calling teams if `team` is empty.
     virtual boost::asio::awaitable<std::vector<draft_status>> drafts(utils::team_id team) = 0;
 };
 
--- a/src/libs/operators/operatorapi.cpp
+++ b/src/libs/operators/operatorapi.cpp
@@ -85,8 +85,8 @@
     return items;
 }
 
-/// The document with only the sections named; all of it if none is.
-config::document pick(const config::document& whole, const std::vector<std::string>& names)
+/// Copy of the document with only the sections in `names`; the whole document if `names` is empty.
+config::document selectSections(const config::document& whole, const std::vector<std::string>& names)
 {
     if (names.empty())
         return whole;
@@ -154,8 +154,8 @@
         co_return refuse(utils::error_kind::UnknownRoute, path);
     if (found->method != request.method)
         co_return refuse(utils::error_kind::MethodNotAllowed, path + " takes " + found->method);
-    // A node that has just started knows no operators yet; it reads before it refuses. Later it does not:
-    // whoever tries keys would spend the calls that the platform's service counts.
+    // A node that has just started knows no operators yet, so it reads the configuration before it refuses a
+    // key. Later it does not: an attacker who tries keys would use up the platform service's call quota.
     if (m_configuration->cached()->head.revision == 0 && !isOperator(request.key))
         co_await m_configuration->read();
     if (!isOperator(request.key)) {
@@ -226,19 +226,19 @@
         request.edits.emplace_back(config::delete_section { name });
     config::change_outcome outcome = co_await change(std::move(request));
     if (outcome.failure.kind == utils::error_kind::InvalidDocument && !outcome.problems.empty()) {
-        // The plan knows only sections; the file has lines.
+        // The change planner reports problems by section only; parsing the file again adds the lines.
         auto placed = config::parseDocumentOver(c.request.body, file, *m_configuration->cached()->whole);
         if (!placed.problems.empty())
             outcome.problems = std::move(placed.problems);
     }
-    co_return co_await finish(std::move(outcome));
+    co_return co_await replyToChange(std::move(outcome));
 }
 
 asio::awaitable<operator_reply> operator_api::get(call c)
 {
     const keyvalue::snapshot_reply present = co_await m_configuration->read();
     const config::snapshot_pointer found = present.snapshot ? present.snapshot : m_configuration->cached();
-    const config::document picked = pick(*found->whole, splitList(c.text("section")));
+    const config::document picked = selectSections(*found->whole, splitList(c.text("section")));
     json::object body { { "revision", found->head.revision }, { "yaml", config::toYaml(picked) } };
     if (!present.snapshot)
         body["warning"] = "the platform's service is down; this is what the node last read: " + present.error;
@@ -288,7 +288,7 @@
     request.edits.emplace_back(
         config::set_approval { utils::pool_id(c.text("pool")), utils::team_id(c.text("team")), isApproved });
     config::change_outcome outcome = co_await change(std::move(request));
-    co_return co_await finish(std::move(outcome));
+    co_return co_await replyToChange(std::move(outcome));
 }
 
 asio::awaitable<operator_reply> operator_api::drain(call c)
@@ -297,15 +297,16 @@
     const bool isLeaving = c.text("undo").empty();
     request.edits.emplace_back(config::set_leaving { utils::server_id(c.text("server")), isLeaving });
     config::change_outcome outcome = co_await change(std::move(request));
-    co_return co_await finish(std::move(outcome));
+    co_return co_await replyToChange(std::move(outcome));
 }
 
-/// Answers once the change is in the head, and tells how many of the region's VMs have it in force by then.
-asio::awaitable<operator_reply> operator_api::finish(config::change_outcome outcome)
+/// Replies to a change. For a successful one it first waits up to the spread limit, and reports how many of
+/// the region's VMs have the change in force.
+asio::awaitable<operator_reply> operator_api::replyToChange(config::change_outcome outcome)
 {
-    const bool isTaken = outcome.verdict == config::change_verdict::Accepted
+    const bool isSuccessful = outcome.verdict == config::change_verdict::Accepted
         || outcome.verdict == config::change_verdict::Unchanged;
-    if (!isTaken)
+    if (!isSuccessful)
         co_return problemReply(outcome.failure, toProblem(outcome));
     const spread_status spread = co_await m_view->waitInForce(outcome.revision, m_settings.spreadLimit);
     json::array sections;
--- a/src/libs/operators/operatorapi.h
+++ b/src/libs/operators/operatorapi.h
@@ -13,7 +13,7 @@
 
 namespace operators {
 
-/// One HTTP request of an operator.
+/// An HTTP request from an operator.
 struct operator_request {
     std::string method;
     std::string target; ///< path and query
@@ -21,7 +21,7 @@
     std::string key; ///< the operator's key, from "Authorization: Bearer"
 };
 
-/// The answer; the body is JSON, application/problem+json if the status is 400 or more.
+/// The HTTP response; the body is JSON, of type application/problem+json if the status is 400 or higher.
 struct operator_reply {
     unsigned status = 200;
     std::string contentType = "application/json";
@@ -29,28 +29,29 @@
 };
 
 struct operator_api_settings {
-    std::string firstKeyHash; ///< SHA-256 of the key valid while there are no operators
+    std::string firstKeyHash; ///< SHA-256 of the key that is valid while no operators are configured
     utils::duration spreadLimit = std::chrono::seconds(10); ///< how long apply waits for a majority
 };
 
-/// What operators may ask a node, without HTTP itself:
+/// The operators' API of a node, independent of the HTTP transport:
 ///
-///     POST /v1/check?file=N              the document's problems, on top of what is in force
+///     POST /v1/check?file=N              problems of the document on top of the present configuration
 ///     POST /v1/apply?change=ID&file=N&base=R&overwrite=1&delete=S,S
 ///     GET  /v1/config?section=S,S        the document as YAML
-///     POST /v1/diff                      how the sections given differ from the present ones
+///     POST /v1/diff                      differences between the given and the present sections
 ///     GET  /v1/history
 ///     POST /v1/approve?pool=P&team=T&change=ID, /v1/revoke?...
 ///     POST /v1/drain?server=S&undo=1&change=ID
 ///     GET  /v1/status, /v1/explain?team=T&model=M&chat=C, /v1/drafts?team=T
 ///
-/// Every call needs an operator's key. Not thread safe: the daemon's executor. Preconditions: the
-/// configuration and the view outlive this.
+/// Every call needs an operator's key. Not thread safe: use it only on the daemon's executor. Preconditions:
+/// the configuration and the view outlive this object.
 class operator_api {
 public:
     operator_api(keyvalue::config_access& configuration, node_view& view, operator_api_settings settings);
 
-    /// Never fails with an exception for any request. `wallSeconds` is UTC now, for the history.
+    /// Throws no exception, whatever the request contains. `wallSeconds` is the present UTC time, for the
+    /// history.
     boost::asio::awaitable<operator_reply> handle(operator_request request, std::int64_t wallSeconds);
 
 private:
@@ -84,7 +85,7 @@
     config::change_request changeOf(const call& c) const;
     boost::asio::awaitable<operator_reply> approval(call c, bool isApproved);
     boost::asio::awaitable<config::change_outcome> change(config::change_request request);
-    boost::asio::awaitable<operator_reply> finish(config::change_outcome outcome);
+    boost::asio::awaitable<operator_reply> replyToChange(config::change_outcome outcome);
 
     keyvalue::config_access* m_configuration;
     node_view* m_view;
--- a/src/libs/operators/operatorjson.h
+++ b/src/libs/operators/operatorjson.h
@@ -10,7 +10,7 @@
 
 namespace operators {
 
-/// Bodies of the operators' API; lycheefrontctl renders them. Thread safe.
+/// JSON bodies of the operators' API, which lycheefrontctl renders. Thread safe.
 boost::json::object toJson(const config::problem& p);
 boost::json::array toJson(const std::vector<config::problem>& problems);
 boost::json::object toJson(const config::change_record& record);
@@ -20,8 +20,10 @@
 boost::json::object toJson(const fleet_status& status);
 boost::json::object toJson(const spread_status& status);
 boost::json::object toJson(const draft_status& draft);
-/// problem+json with what else an operator needs to mend the matter.
+/// Body of type application/problem+json with the details that an operator needs to correct the problem.
+/// Thread safe.
 boost::json::object toProblem(const config::change_outcome& outcome);
+/// As above, for a failure without a change outcome. Thread safe.
 boost::json::object toProblem(const utils::failure& failure);
 
 } // namespace operators
