--- a/src/app/lycheefrontd/daemonview.cpp
+++ b/src/app/lycheefrontd/daemonview.cpp
@@ -60,7 +60,8 @@
         node.dataCentre = member.dataCentre;
         node.state = std::string(fleet::toString(member.state));
         node.revision = member.revisionInForce;
-        // Whether another node is current only that node knows; what counts here is that it is heard.
+        // Only the other node knows whether it is current; here it counts as current while it is live and has
+        // sent a datagram to this node.
         node.isCurrent = member.isLive() && member.wasHeard;
         status.nodes.push_back(node);
     }
--- a/src/app/lycheefrontd/daemonview.h
+++ b/src/app/lycheefrontd/daemonview.h
@@ -7,10 +7,10 @@
 #include "serving/nodecontext.h"
 #include "serving/router.h"
 
-/// What operators see of this node. On the node's one thread.
+/// Implements the operators' view of this node. Not thread safe: use it only on the node's single thread.
 class daemon_view : public operators::node_view {
 public:
-    /// Preconditions: all outlive this.
+    /// Preconditions: all arguments outlive this object.
     daemon_view(serving::node_context& context, serving::live_fleet& fleet, serving::home_service& home,
         serving::router& routes, serving::draft_service& drafts);
 
--- a/src/app/lycheefrontd/main.cpp
+++ b/src/app/lycheefrontd/main.cpp
@@ -7,7 +7,7 @@
 #include <iostream>
 
 DEFINE_string(settings, "", "settings of this process, a YAML file (docs/CONFIGURATION.md)");
-DEFINE_bool(check, false, "check the settings and leave");
+DEFINE_bool(check, false, "check the settings and exit");
 
 namespace {
 
@@ -31,7 +31,7 @@
     gflags::SetUsageMessage("a node of lycheefront\n\n  lycheefrontd --settings node.yaml\n");
     gflags::ParseCommandLineFlags(&argc, &argv, true);
     if (FLAGS_settings.empty()) {
-        std::cerr << "lycheefrontd: --settings FILE is expected; --help tells more\n";
+        std::cerr << "lycheefrontd: --settings FILE is required; see --help\n";
         return exitInvalid;
     }
     const config::parsed_settings parsed = config::loadSettings(FLAGS_settings);
--- a/src/app/lycheefrontd/nodedaemon.cpp
+++ b/src/app/lycheefrontd/nodedaemon.cpp
@@ -75,12 +75,13 @@
 {
     const auto endpoint = wire::parseEndpoint(address);
     if (!endpoint)
-        throw std::runtime_error(address + " is not ip:port");
+        throw std::runtime_error(address + " is not an address of the form ip:port");
     return *endpoint;
 }
 
-/// Refuses what the settings allow and this version does not do, instead of passing over it in silence.
-config::settings supported(config::settings settings)
+/// Throws std::runtime_error for a valid setting that this version does not implement, rather than ignoring
+/// it.
+config::settings requireSupported(config::settings settings)
 {
     if (!settings.peers.vmList.empty())
         throw std::runtime_error("peers.vm_list is not supported yet: list the VMs under peers.seeds");
@@ -91,9 +92,9 @@
 
 struct node_daemon::data {
     explicit data(config::settings settings)
-        : context(io.get_executor(), supported(std::move(settings)))
+        : context(io.get_executor(), requireSupported(std::move(settings)))
         , keys(readKeys(context.settings.peers))
-        , chart(loadChart(context.settings.charts, "operation.yaml"))
+        , operationChart(loadChart(context.settings.charts, "operation.yaml"))
         , tls(callerTls(context.settings.callers))
         , kv(io.get_executor(), keyvalue::toEndpoints(context.settings.platform.endpoints),
               context.settings.platform.timeout)
@@ -104,7 +105,7 @@
               context, nodeChart, keys, [this](const fleet::fleet_action& action) { onFleetAction(action); })
         , home(context, nullptr)
         , writes(io.get_executor(), kv)
-        , operations(context, home, kv, writes, chart)
+        , operations(context, home, kv, writes, operationChart)
         , peers(io.get_executor(), keys)
         , router(context, home, operations, peers)
         , configClock(io.get_executor())
@@ -136,7 +137,7 @@
     asio::io_context io { 1 };
     serving::node_context context;
     wire::fleet_keys keys;
-    utils::state_chart chart;
+    utils::state_chart operationChart;
     std::unique_ptr<asio::ssl::context> tls;
     keyvalue::kv_client kv;
     utils::state_chart nodeChart;
@@ -223,12 +224,12 @@
 asio::awaitable<void> node_daemon::data::tick()
 {
     while (true) {
-        const utils::time_point present = serving::now();
+        const utils::time_point now = serving::now();
         feed.tick();
-        fleet.tick(home, present);
-        home.tick(present);
-        limits.tick(present);
-        drafts.tick(fleet.liveNodes(), present);
+        fleet.tick(home, now);
+        home.tick(now);
+        limits.tick(now);
+        drafts.tick(fleet.liveNodes(), now);
         ticker.expires_after(tickInterval);
         const auto [error] = co_await ticker.async_wait(asTuple);
         if (error)
@@ -242,7 +243,7 @@
     if (error)
         co_return;
     asio::co_spawn(io, leave(), asio::detached);
-    // A second signal ends the process at once.
+    // A second signal stops the process at once.
     co_await signals.async_wait(asTuple);
     io.stop();
 }
--- a/src/app/lycheefrontd/operatorserver.cpp
+++ b/src/app/lycheefrontd/operatorserver.cpp
@@ -18,10 +18,10 @@
 namespace http = boost::beast::http;
 constexpr auto asTuple = asio::as_tuple(asio::use_awaitable);
 
-/// A document of 8,800 sections is some megabytes.
+/// In bytes. A configuration document of 8,800 sections has several megabytes.
 constexpr std::uint64_t bodyLimit = 32U << 20U;
 constexpr std::chrono::seconds idleTimeout { 60 };
-constexpr std::string_view scheme = "Bearer ";
+constexpr std::string_view bearerPrefix = "Bearer ";
 
 operators::operator_request toRequest(const http::request<http::string_body>& message)
 {
@@ -30,8 +30,8 @@
     request.target = std::string(message.target());
     request.body = message.body();
     const std::string_view key = message[http::field::authorization];
-    if (key.starts_with(scheme))
-        request.key = std::string(key.substr(scheme.size()));
+    if (key.starts_with(bearerPrefix))
+        request.key = std::string(key.substr(bearerPrefix.size()));
     return request;
 }
 
@@ -74,8 +74,8 @@
 {
     boost::beast::tcp_stream stream(std::move(socket));
     boost::beast::flat_buffer buffer;
-    bool goesOn = true;
-    while (goesOn) {
+    bool keepAlive = true;
+    while (keepAlive) {
         http::request_parser<http::string_body> parser;
         parser.body_limit(bodyLimit);
         stream.expires_after(idleTimeout);
@@ -90,7 +90,7 @@
         response.body() = std::move(reply.body);
         response.prepare_payload();
         const auto [writeError, writeCount] = co_await http::async_write(stream, response, asTuple);
-        goesOn = !writeError && response.keep_alive();
+        keepAlive = !writeError && response.keep_alive();
     }
 }
 
--- a/src/app/lycheefrontd/operatorserver.h
+++ b/src/app/lycheefrontd/operatorserver.h
@@ -5,13 +5,14 @@
 
 #include <boost/asio/ip/tcp.hpp>
 
-/// The operators' listener: the operators' API, /metrics, /healthz and /readyz. On the node's one thread.
+/// HTTP listener for operators: the operators' API, /metrics, /healthz and /readyz. Not thread safe: use it
+/// only on the node's single thread.
 class operator_server {
 public:
-    /// Preconditions: both outlive this.
+    /// Preconditions: both arguments outlive this object.
     operator_server(serving::node_context& context, operators::operator_api& api);
 
-    /// Throws boost::system::system_error when the address cannot be listened on.
+    /// Throws boost::system::system_error if it cannot listen on the endpoint.
     void start(const boost::asio::ip::tcp::endpoint& endpoint);
     void stop();
 
