--- a/tests/auto/operations/draftbench.cpp
+++ b/tests/auto/operations/draftbench.cpp
@@ -46,7 +46,7 @@
     worker_state& worker = m_workers[node];
     if (worker.lease != 0 && m_time.now() >= worker.leaseEnd) {
         worker.lease = 0;
-        giveAll(node, [this](operations::draft& d) { return d.claimLost(m_time.now()); });
+        deliverEventToAll(node, [this](operations::draft& d) { return d.claimLost(m_time.now()); });
     }
     if (worker.lease != 0 && m_kv.keepLease(worker.lease))
         worker.leaseEnd = m_time.now() + leaseTime;
@@ -73,7 +73,7 @@
                     running.insert(draft.machine->slot());
                 const std::size_t free = room - std::min(room, at.drafts.size());
                 for (const unsigned slot : operations::draft_scanner::adoptable(reply, running, free)) {
-                    give(node, boot, addMachine(node),
+                    deliverEvent(node, boot, addMachine(node),
                         [this, slot](operations::draft& d) { return d.adopt(slot, m_time.now()); });
                 }
             });
@@ -114,14 +114,15 @@
         m_workers[node].drafts[id].sending = index;
         m_sendings[index].nonce = "worker-" + std::to_string(id);
         const bool hasRoom = m_workers[node].drafts.size() <= room;
-        give(node, boot, id, [this, request, hasRoom](operations::draft& d) {
+        deliverEvent(node, boot, id, [this, request, hasRoom](operations::draft& d) {
             return d.submit(request, hasRoom, m_time.now());
         });
     });
     return index;
 }
 
-void draft_bench::give(std::size_t node, std::uint64_t boot, std::uint64_t id, const machine_call& call)
+void draft_bench::deliverEvent(
+    std::size_t node, std::uint64_t boot, std::uint64_t id, const machine_call& call)
 {
     m_nodes.deliver(node, boot, [this, node, boot, id, call] {
         const auto found = m_workers[node].drafts.find(id);
@@ -143,13 +144,13 @@
     });
 }
 
-void draft_bench::giveAll(std::size_t node, const machine_call& call)
+void draft_bench::deliverEventToAll(std::size_t node, const machine_call& call)
 {
     std::vector<std::uint64_t> ids;
     for (const auto& [id, draft] : m_workers[node].drafts)
         ids.push_back(id);
     for (const std::uint64_t id : ids)
-        give(node, m_nodes.boot(node), id, call);
+        deliverEvent(node, m_nodes.boot(node), id, call);
 }
 
 void draft_bench::perform(
@@ -158,7 +159,7 @@
     running_draft& draft = m_workers[node].drafts.at(id);
     if (const auto* kv = std::get_if<operations::kv_transact>(&action)) {
         m_kv.call(kv->transaction, [this, node, boot, id, ticket = kv->ticket](const auto& reply) {
-            give(node, boot, id, [this, ticket, reply](operations::draft& d) {
+            deliverEvent(node, boot, id, [this, ticket, reply](operations::draft& d) {
                 return d.onKvReply(ticket, reply, m_time.now());
             });
         });
@@ -167,7 +168,8 @@
         m_time.after(timer->at - m_time.now(), [this, node, boot, id, number] {
             const auto found = m_workers[node].drafts.find(id);
             if (found != m_workers[node].drafts.end() && found->second.timers == number)
-                give(node, boot, id, [this](operations::draft& d) { return d.onTimer(m_time.now()); });
+                deliverEvent(
+                    node, boot, id, [this](operations::draft& d) { return d.onTimer(m_time.now()); });
         });
     } else if (const auto* started = std::get_if<operations::run_draft>(&action)) {
         run(node, boot, id, started->record);
@@ -193,7 +195,7 @@
         const auto found = m_workers[node].drafts.find(id);
         if (found == m_workers[node].drafts.end() || found->second.runs != number)
             return;
-        give(node, boot, id, [this, record, fate](operations::draft& d) {
+        deliverEvent(node, boot, id, [this, record, fate](operations::draft& d) {
             if (fate == engine_fate::NotRun)
                 return d.notRun(m_time.now());
             if (fate == engine_fate::Cut)
@@ -225,7 +227,7 @@
 
 void draft_bench::leave(std::size_t node)
 {
-    giveAll(node, [this](operations::draft& d) { return d.leave(m_time.now()); });
+    deliverEventToAll(node, [this](operations::draft& d) { return d.leave(m_time.now()); });
 }
 
 std::optional<operations::draft_record> draft_bench::poll(const std::string& id, const std::string& team)
--- a/tests/auto/operations/draftbench.h
+++ b/tests/auto/operations/draftbench.h
@@ -16,40 +16,40 @@
 #include <string>
 #include <vector>
 
-/// What becomes of one run of a draft at its engine.
+/// Outcome of one run of a draft at its engine.
 enum class engine_fate {
-    Answered,
+    Answered, ///< complete answer
     Cut, ///< the engine crashes or the connection breaks
-    NotRun, ///< no room
-    Rejected
+    NotRun, ///< refused, the engine has no capacity
+    Rejected ///< permanent error
 };
 
-/// What a caller has seen of its draft.
+/// A draft as its caller has seen it.
 struct draft_sending {
     std::string name;
     std::size_t node = 0;
     std::string nonce;
     unsigned finalAnswers = 0;
-    std::optional<std::string> id; ///< accepted
+    std::optional<std::string> id; ///< set once the draft is accepted
     std::optional<utils::failure> failure;
     bool isConnectionLost = false;
 };
 
-/// Nodes that accept, run and adopt drafts as the daemon does, sharing one platform, in virtual time.
+/// Simulates nodes that accept, run and adopt drafts as the daemon does, with one platform, in virtual time.
 /// Not thread safe.
 class draft_bench {
 public:
-    /// Precondition: the chart outlives this.
+    /// Precondition: the chart outlives this object.
     draft_bench(const utils::state_chart& chart, std::size_t nodes);
 
-    /// Sends a draft through a node; the result is an index into sendings().
+    /// Sends a draft to a node. Returns an index into sendings().
     std::size_t send(const std::string& name, std::size_t node, const std::string& team = "imprenta");
     void kill(std::size_t node);
     void restart(std::size_t node);
     void leave(std::size_t node);
-    /// The platform ends the node's lease early.
+    /// The platform expires the node's lease early.
     void endLease(std::size_t node) { m_kv.endLease(m_workers.at(node).lease); }
-    /// The draft as any caller of the team may poll it, without faults.
+    /// The draft as a caller of the team polls it, without injected faults.
     std::optional<operations::draft_record> poll(const std::string& id, const std::string& team = "imprenta");
     void cancel(const std::string& id);
 
@@ -58,23 +58,23 @@
     virtual_time& time() { return m_time; }
     fake_kv& kv() { return m_kv; }
     const std::vector<draft_sending>& sendings() const { return m_sendings; }
-    /// Runs that the engines have started for drafts of that name.
+    /// Number of runs that the engines have started for drafts of that name.
     unsigned runs(const std::string& name) const;
-    /// Machines that work on the draft now, over all nodes.
+    /// Number of unfinished draft state machines over all nodes.
     unsigned workers() const;
 
     std::function<engine_fate(const operations::draft_record&)> engineFate
         = [](const operations::draft_record&) { return engine_fate::Answered; };
-    /// Called before each event is given to a machine, with its chart's state.
+    /// Called before each event is delivered to a state machine, with its chart's state.
     std::function<void(std::size_t node, const std::string& state)> beforeEvent
         = [](std::size_t, const std::string&) {};
-    /// Called after it, with the chart's state before and the event: "claiming written".
+    /// Called after each event, with the chart's previous state and the event: "claiming written".
     std::function<void(const std::string& step)> afterEvent = [](const std::string&) {};
-    /// The nodes that a node holds alive.
+    /// The nodes that a node sees as alive; all live nodes if not set.
     std::function<std::vector<utils::node_id>(std::size_t node)> membersSeenBy;
     operations::draft_settings settings;
     unsigned teamLimit = 20;
-    std::size_t room = 8; ///< drafts that a node runs at once
+    std::size_t room = 8; ///< number of drafts that a node runs concurrently
 
     static constexpr utils::duration leaseTime = std::chrono::seconds(5);
     static constexpr utils::duration tick = std::chrono::milliseconds(500);
@@ -85,8 +85,8 @@
     struct running_draft {
         std::unique_ptr<operations::draft> machine;
         std::optional<std::size_t> sending;
-        std::uint64_t runs = 0; ///< the last run; earlier ones' outcomes are stale
-        std::uint64_t timers = 0;
+        std::uint64_t runs = 0; ///< number of the latest run; outcomes of earlier runs are stale
+        std::uint64_t timers = 0; ///< number of the latest timer; earlier timers are stale
     };
     struct worker_state {
         std::int64_t lease = 0;
@@ -101,8 +101,8 @@
     void keepLease(std::size_t node);
     void scan(std::size_t node);
     std::uint64_t addMachine(std::size_t node);
-    void give(std::size_t node, std::uint64_t boot, std::uint64_t id, const machine_call& call);
-    void giveAll(std::size_t node, const machine_call& call);
+    void deliverEvent(std::size_t node, std::uint64_t boot, std::uint64_t id, const machine_call& call);
+    void deliverEventToAll(std::size_t node, const machine_call& call);
     void perform(
         std::size_t node, std::uint64_t boot, std::uint64_t id, const operations::draft_action& action);
     void run(std::size_t node, std::uint64_t boot, std::uint64_t id, const operations::draft_record& record);
--- a/tests/auto/operations/draftworld.cpp
+++ b/tests/auto/operations/draftworld.cpp
@@ -19,7 +19,7 @@
     m_bench.settings.totalSlots = 12;
     m_bench.settings.maxProbes = 2;
     m_bench.settings.maxClaims = 3;
-    // Shorter than in use, so that a run may end sooner; there are some twenty thousand.
+    // Shorter than the defaults to shorten each run; the matrix has about 20,000 runs.
     m_bench.settings.restMost = 8s;
     m_bench.settings.retryMost = 4s;
     m_bench.beforeEvent = [this](std::size_t node, const std::string&) { beforeEvent(node); };
@@ -29,7 +29,8 @@
 
 void draft_world::drawFates()
 {
-    // Often right behind the report that nothing is known, where it meets the next try.
+    // Often takes effect just after the write's outcome was reported as unknown, so that it races with the
+    // retry.
     m_bench.kv().lateEffectDelay
         = [this] { return std::chrono::milliseconds(draw(2) == 0 ? 300 + draw(30) : 300 + draw(2000)); };
     m_bench.kv().fate = [this](const keyvalue::kv_transaction& transaction) {
@@ -79,7 +80,7 @@
         m_bench.restart(node);
 }
 
-/// A draft too large, or of a team without a quota.
+/// Sends a draft that is refused: its body is too large or its calling team has no quota.
 void draft_world::sendRefused(std::size_t node)
 {
     const std::size_t maxBody = m_bench.settings.maxBody;
@@ -93,13 +94,13 @@
     m_bench.teamLimit = teamLimit;
 }
 
-void draft_world::platform(kv_fate fate, utils::duration span)
+void draft_world::forcePlatformFate(kv_fate fate, utils::duration span)
 {
     m_forcedKv = fate;
     m_bench.time().after(span, [this] { m_forcedKv = kv_fate::Answered; });
 }
 
-void draft_world::engine(engine_fate fate, utils::duration span)
+void draft_world::forceEngineFate(engine_fate fate, utils::duration span)
 {
     m_forcedEngine = fate;
     m_bench.time().after(span, [this] { m_forcedEngine = engine_fate::Answered; });
@@ -115,19 +116,19 @@
         m_bench.nodes().pause(node);
         return m_bench.time().after(8s, [this, node] { m_bench.nodes().resumeNewestFirst(node); });
     case matrix_fault::CutRequest:
-        platform(kv_fate::RequestLost, 1s);
-        return engine(engine_fate::Cut, 4s);
+        forcePlatformFate(kv_fate::RequestLost, 1s);
+        return forceEngineFate(engine_fate::Cut, 4s);
     case matrix_fault::CutAnswer:
-        platform(kv_fate::AnswerLost, 1s);
-        return engine(engine_fate::Cut, 4s);
+        forcePlatformFate(kv_fate::AnswerLost, 1s);
+        return forceEngineFate(engine_fate::Cut, 4s);
     case matrix_fault::LateOrReordered:
-        return platform(kv_fate::LateEffect, 1s);
+        return forcePlatformFate(kv_fate::LateEffect, 1s);
     case matrix_fault::AnswerOfWriteLost:
-        return platform(kv_fate::AnswerLost, 50ms);
+        return forcePlatformFate(kv_fate::AnswerLost, 50ms);
     case matrix_fault::PlatformDown:
-        return platform(kv_fate::NotSent, 12s);
+        return forcePlatformFate(kv_fate::NotSent, 12s);
     case matrix_fault::PlatformSlow:
-        return platform(kv_fate::Slow, 12s);
+        return forcePlatformFate(kv_fate::Slow, 12s);
     case matrix_fault::LeaseLapsed:
         return m_bench.endLease(node);
     case matrix_fault::VmListsDisagree:
@@ -135,16 +136,16 @@
             = [](std::size_t at) { return std::vector { utils::node_id("node-" + std::to_string(at)) }; };
         return m_bench.time().after(10s, [this] { m_bench.membersSeenBy = nullptr; });
     case matrix_fault::EngineFlaps:
-        return engine(engine_fate::NotRun, 10s);
+        return forceEngineFate(engine_fate::NotRun, 10s);
     case matrix_fault::TeamSurges:
         return m_bench.time().after({}, [this, node] {
             for (int i = 0; i < 20; ++i)
                 m_bench.send("surge-" + std::to_string(i), node, "surging");
         });
     case matrix_fault::OperatorsRace:
-        return engine(engine_fate::Rejected, 4s);
+        return forceEngineFate(engine_fate::Rejected, 4s);
     case matrix_fault::CrashingRequest:
-        return engine(engine_fate::Cut, 20s);
+        return forceEngineFate(engine_fate::Cut, 20s);
     case matrix_fault::Count_:
         return;
     }
--- a/tests/auto/operations/matrixworld.h
+++ b/tests/auto/operations/matrixworld.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <vector>
 
-/// The faults of the brief.
+/// The faults that the matrix covers, as listed in the project's requirements.
 enum class matrix_fault {
     HolderKilled,
     CutRequest,
@@ -32,20 +32,20 @@
     "engine_flaps", "team_surges", "operators_race", "crashing_request"
 };
 
-/// A fault right before the event with that number.
+/// Injects a fault right before the event with the given number.
 struct matrix_injection {
     std::uint64_t event = 0;
     matrix_fault fault = matrix_fault::HolderKilled;
 };
 
-/// A step that a machine took, "state event", and the number of its event.
+/// A transition that a state machine took, as "state event", and the number of that event.
 struct matrix_step {
     std::string step;
     std::uint64_t event = 0;
 };
 
-/// One run of the real machines against the fakes, drawn from a seed, with faults put in. The same seed gives
-/// the same run up to the first injection. Not thread safe.
+/// One run of the production state machines against fakes, generated from a seed, with injected faults. The
+/// same seed gives the same run up to the first injection. Not thread safe.
 class matrix_world {
 public:
     matrix_world() = default;
@@ -53,7 +53,7 @@
     matrix_world& operator=(const matrix_world&) = delete;
     virtual ~matrix_world() = default;
 
-    /// Plays the run, ends all faults, waits, and says which promises are broken.
+    /// Plays the run, ends all faults, waits for the machines to finish and returns the violated guarantees.
     virtual std::vector<std::string> play() = 0;
 
     std::vector<matrix_injection> injections;
--- a/tests/auto/operations/scenarioplayer.cpp
+++ b/tests/auto/operations/scenarioplayer.cpp
@@ -12,7 +12,7 @@
     return utils::state_chart::load(LYCHEEFRONT_SOURCE_DIR "/share/lycheefront/charts/" + name).value();
 }
 
-/// "7ms", "2s" or "3min".
+/// Parses a duration such as "7ms", "2s" or "3min".
 utils::duration durationFrom(const std::string& text)
 {
     std::size_t digits = 0;
@@ -24,7 +24,7 @@
         return std::chrono::seconds(count);
     if (unit == "min")
         return std::chrono::minutes(count);
-    throw std::invalid_argument("not a time: " + text);
+    throw std::invalid_argument("not a duration: " + text);
 }
 
 template <class Fate>
@@ -34,23 +34,23 @@
         return Fate::Answered;
     const auto found = words.find(word);
     if (found == words.end())
-        throw std::invalid_argument(std::string("no such fault of the ") + what + ": " + word);
+        throw std::invalid_argument(std::string("unknown fault of the ") + what + ": " + word);
     return found->second;
 }
 
-const std::map<std::string, kv_fate> platformWords { { "none", kv_fate::Answered },
+const std::map<std::string, kv_fate> platformFates { { "none", kv_fate::Answered },
     { "down", kv_fate::NotSent }, { "request_lost", kv_fate::RequestLost },
     { "answer_lost", kv_fate::AnswerLost }, { "late_effect", kv_fate::LateEffect },
     { "slow", kv_fate::Slow } };
-const std::map<std::string, service_fate> serviceWords { { "none", service_fate::Answered },
+const std::map<std::string, service_fate> serviceFates { { "none", service_fate::Answered },
     { "not_reached", service_fate::NotReached }, { "cut_before", service_fate::CutBefore },
     { "cut_after", service_fate::CutAfter }, { "late_answer", service_fate::LateAnswer },
     { "slow_to_reach", service_fate::SlowToReach } };
-const std::map<std::string, engine_fate> engineWords { { "none", engine_fate::Answered },
+const std::map<std::string, engine_fate> engineFates { { "none", engine_fate::Answered },
     { "crash", engine_fate::Cut }, { "no_room", engine_fate::NotRun },
     { "rejected", engine_fate::Rejected } };
 
-std::string saysOf(const std::optional<utils::failure>& failure)
+std::string outcomeOf(const std::optional<utils::failure>& failure)
 {
     if (!failure)
         return "nothing";
@@ -71,18 +71,18 @@
     else if (bench == "drafts")
         m_drafts = std::make_unique<draft_bench>(m_draftChart, count);
     else
-        throw std::invalid_argument("no such bench: " + bench);
+        throw std::invalid_argument("unknown bench: " + bench);
     kv().fate = [this](const auto&) {
         const std::string word = m_platformFault;
         if (m_platformCalls > 0 && --m_platformCalls == 0)
             m_platformFault.clear();
-        return fateFrom(platformWords, word, "platform");
+        return fateFrom(platformFates, word, "platform");
     };
     if (m_payments)
         m_payments->serviceFate
-            = [this](std::size_t) { return fateFrom(serviceWords, m_serverFault, "service"); };
+            = [this](std::size_t) { return fateFrom(serviceFates, m_serverFault, "service"); };
     else
-        m_drafts->engineFate = [this](const auto&) { return fateFrom(engineWords, m_serverFault, "engine"); };
+        m_drafts->engineFate = [this](const auto&) { return fateFrom(engineFates, m_serverFault, "engine"); };
 }
 
 bench_nodes& scenario_player::nodes()
@@ -103,11 +103,11 @@
 void scenario_player::play()
 {
     for (const YAML::Node& step : m_steps) {
-        const auto only = step.begin();
-        const auto what = only->first.as<std::string>();
+        const auto entry = step.begin();
+        const auto what = entry->first.as<std::string>();
         BOOST_TEST_CONTEXT("step in line " << step.Mark().line + 1 << ": " << what)
         {
-            playStep(what, only->second);
+            playStep(what, entry->second);
         }
     }
 }
@@ -144,7 +144,7 @@
     else if (what == "leave" && m_drafts)
         m_drafts->leave(node);
     else
-        throw std::invalid_argument("no such step: " + what);
+        throw std::invalid_argument("unknown step: " + what);
 }
 
 void scenario_player::send(const YAML::Node& value)
@@ -162,7 +162,7 @@
     if (value["platform"]) {
         m_platformFault = value["platform"].as<std::string>();
         m_platformCalls = value["calls"].as<unsigned>(0);
-        (void)fateFrom(platformWords, m_platformFault, "platform");
+        (void)fateFrom(platformFates, m_platformFault, "platform");
     }
     if (value["server"])
         m_serverFault = value["server"].as<std::string>();
@@ -198,7 +198,7 @@
     if (!value["sending"])
         return;
     const sending& s = m_payments->sendings().at(indexOf(value, "sending"));
-    BOOST_TEST((s.answer ? "answered" : saysOf(s.failure)) == value["says"].as<std::string>());
+    BOOST_TEST((s.answer ? "answered" : outcomeOf(s.failure)) == value["says"].as<std::string>());
     if (value["kind"])
         BOOST_TEST((s.failure && utils::answerFor(s.failure->kind).name == value["kind"].as<std::string>()));
 }
@@ -207,7 +207,7 @@
 {
     const draft_sending& s = m_drafts->sendings().at(indexOf(value, "sending"));
     if (value["says"])
-        BOOST_TEST((s.id ? "accepted" : saysOf(s.failure)) == value["says"].as<std::string>());
+        BOOST_TEST((s.id ? "accepted" : outcomeOf(s.failure)) == value["says"].as<std::string>());
     if (value["state"]) {
         const auto record = m_drafts->poll(s.id.value_or("0-none"));
         BOOST_TEST((record ? std::string(operations::toString(record->state)) : "gone")
--- a/tests/auto/operations/scenarioplayer.h
+++ b/tests/auto/operations/scenarioplayer.h
@@ -11,9 +11,9 @@
 #include <memory>
 #include <string>
 
-/// Plays one file of tests/scenarios, in virtual time, against the real machines. docs/design/fault-matrix.md
-/// lists the steps. An unknown step or word throws std::invalid_argument; an expectation that does not hold
-/// is a failed check of Boost.Test. Not thread safe.
+/// Plays one file of tests/scenarios in virtual time against the production state machines.
+/// docs/design/fault-matrix.md lists the steps. An unknown step or value throws std::invalid_argument; an
+/// expectation that is not met is a failed Boost.Test check. Not thread safe.
 class scenario_player {
 public:
     explicit scenario_player(const YAML::Node& scenario);
@@ -39,8 +39,8 @@
     YAML::Node m_steps;
     std::unique_ptr<payment_bench> m_payments;
     std::unique_ptr<draft_bench> m_drafts;
-    std::map<std::string, std::size_t> m_sent; ///< by name in the scenario
+    std::map<std::string, std::size_t> m_sent; ///< index of each request by its name in the scenario
     std::string m_platformFault;
-    unsigned m_platformCalls = 0; ///< calls that the fault still takes; 0: until changed
+    unsigned m_platformCalls = 0; ///< remaining calls that the fault affects; 0: until the fault changes
     std::string m_serverFault;
 };
--- a/tests/auto/operations/tst_draft.cpp
+++ b/tests/auto/operations/tst_draft.cpp
@@ -28,7 +28,7 @@
     BOOST_TEST(static_cast<bool>(operations::draft::checkChart(draftChart())));
 }
 
-BOOST_AUTO_TEST_CASE(a_draft_is_accepted_once_durable_runs_and_keeps_its_answer)
+BOOST_AUTO_TEST_CASE(a_draft_is_accepted_once_durable_and_runs_and_stores_its_answer)
 {
     draft_bench bench(draftChart(), 3);
     bench.time().advance(1s);
@@ -48,10 +48,10 @@
     BOOST_TEST(!bench.poll(id));
 }
 
-BOOST_AUTO_TEST_CASE(a_draft_outlives_the_node_that_runs_it)
+BOOST_AUTO_TEST_CASE(a_draft_survives_a_crash_of_its_node)
 {
-    // Node 0 accepts the draft and is killed while the engine works. Its lease ends, another node's scan
-    // finds the marker without a claim, and the caller who polls gets the whole answer.
+    // Node 0 accepts the draft and is killed during the engine's run. Its lease expires, another node's scan
+    // finds the marker without a claim, and the polling caller gets the complete answer.
     draft_bench bench(draftChart(), 3);
     bench.time().advance(1s);
     const std::size_t first = bench.send("thesis", 0);
@@ -67,9 +67,9 @@
 
 BOOST_AUTO_TEST_CASE(a_worker_paused_past_its_lease_cannot_overwrite)
 {
-    // Node 0 is paused while it runs the draft, its lease lapses, and another node runs the draft to its end.
-    // Node 0 wakes and handles its engine's answer before it looks at its lease: the answer must fail the
-    // compare and be dropped.
+    // Node 0 is paused while it runs the draft, its lease expires, and another node completes the draft. Node
+    // 0 resumes and handles its engine's answer before it checks its lease: the write of that answer must
+    // fail its compare, and the answer must be dropped.
     draft_bench bench(draftChart(), 2);
     bench.time().advance(1s);
     const std::size_t first = bench.send("thesis", 0);
@@ -86,7 +86,7 @@
     BOOST_TEST(bench.workers() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_draft_that_crashes_its_engines_ends_after_few)
+BOOST_AUTO_TEST_CASE(a_draft_that_crashes_its_engines_fails_after_three_runs)
 {
     draft_bench bench(draftChart(), 3);
     bench.engineFate = [](const auto&) { return engine_fate::Cut; };
@@ -100,7 +100,7 @@
     BOOST_TEST(bench.runs("poison") == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_repeated_sending_with_its_key_finds_its_draft)
+BOOST_AUTO_TEST_CASE(a_repeated_request_with_the_same_key_finds_its_draft)
 {
     draft_bench bench(draftChart(), 2);
     bench.time().advance(1s);
@@ -112,10 +112,11 @@
     BOOST_TEST(bench.runs("thesis") == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(quotas_hold_for_a_team_and_for_all)
+BOOST_AUTO_TEST_CASE(quotas_hold_for_a_team_and_for_the_fleet)
 {
-    // One team sends 30 drafts with a quota of 20 while no engine has room; another team's drafts must
-    // still be accepted. With the fleet's slots taken, further ones are refused as not run.
+    // One calling team sends 30 drafts with a quota of 20 while no engine has capacity; drafts of another
+    // calling team must still be accepted. Once all slots of the fleet are taken, further drafts are refused
+    // as not run.
     draft_bench bench(draftChart(), 2);
     bench.engineFate = [](const auto&) { return engine_fate::NotRun; };
     bench.settings.totalSlots = 60;
@@ -153,7 +154,7 @@
     BOOST_TEST(bench.workers() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_leaving_node_gives_its_drafts_back_at_once)
+BOOST_AUTO_TEST_CASE(a_leaving_node_releases_its_drafts_at_once)
 {
     draft_bench bench(draftChart(), 2);
     bench.time().advance(1s);
@@ -167,7 +168,7 @@
 
 BOOST_AUTO_TEST_CASE(scans_do_not_grow_with_the_fleet)
 {
-    // Reads of an idle fleet: without ranks each node would scan all shards.
+    // Counts the reads of an idle fleet. Without ranks each node would scan all shards.
     for (const std::size_t nodes : { 3UL, 7UL, 50UL, 400UL }) {
         draft_bench bench(draftChart(), nodes);
         bench.time().advance(100s);
--- a/tests/auto/operations/tst_faultmatrix.cpp
+++ b/tests/auto/operations/tst_faultmatrix.cpp
@@ -19,9 +19,9 @@
 #include <string>
 #include <vector>
 
-/// The fault matrix: every transition of every chart, crossed with every fault of the brief and every pair of
-/// them. The table tests/scenarios/faultmatrix.yaml has a row for each transition and a column for each
-/// fault; a missing one fails, so that a new step of a chart cannot be forgotten.
+/// The fault matrix: injects every fault and every pair of faults at every transition of every chart. The
+/// table tests/scenarios/faultmatrix.yaml has a row for each transition and a column for each fault; a
+/// missing entry fails the test, so that a transition added to a chart cannot be left untested.
 
 namespace {
 
@@ -29,8 +29,8 @@
 
 using world_maker = std::function<std::unique_ptr<matrix_world>(unsigned seed)>;
 
-/// Where a transition is taken: the run's seed and the event's number.
-struct taken_at {
+/// Run and event in which a transition is taken.
+struct transition_site {
     unsigned seed = 0;
     std::uint64_t event = 0;
 };
@@ -53,7 +53,8 @@
     return std::string(matrixFaultNames.at(static_cast<std::size_t>(fault)));
 }
 
-/// The cell's words: "holds", "cannot meet: <why>" or "see <test>". Empty when the table has no such cell.
+/// The text of a cell: "holds", "cannot meet: <why>", "not covered: <why>" or "see <test>". Empty if the
+/// table has no such cell.
 std::string expectation(const std::string& chart, const std::string& step, matrix_fault fault)
 {
     const YAML::Node rows = table()[chart];
@@ -73,8 +74,8 @@
     return own ? own.as<std::string>() : std::string();
 }
 
-/// Finds runs that take each transition without any injected fault.
-std::map<std::string, taken_at> findRuns(const utils::state_chart& chart, const world_maker& make)
+/// Finds for each transition a run that takes it without an injected fault.
+std::map<std::string, transition_site> findRuns(const utils::state_chart& chart, const world_maker& make)
 {
     std::set<std::string> wanted;
     for (const utils::chart_transition& arrow : chart.transitions()) {
@@ -82,15 +83,15 @@
         if (unreachedReason(chart.name(), step).empty())
             wanted.insert(step);
     }
-    std::map<std::string, taken_at> found;
+    std::map<std::string, transition_site> found;
     for (unsigned seed = 0; seed < maxSeeds && found.size() < wanted.size(); ++seed) {
         const auto world = make(seed);
-        const std::vector<std::string> broken = world->play();
-        for (const std::string& promise : broken)
-            BOOST_ERROR(chart.name() << ", seed " << seed << ", no fault put in: " << promise);
+        const std::vector<std::string> violations = world->play();
+        for (const std::string& violation : violations)
+            BOOST_ERROR(chart.name() << ", seed " << seed << ", no injected fault: " << violation);
         for (const matrix_step& step : world->steps) {
             if (wanted.contains(step.step))
-                found.try_emplace(step.step, taken_at { seed, step.event });
+                found.try_emplace(step.step, transition_site { seed, step.event });
             else
                 BOOST_TEST(unreachedReason(chart.name(), step.step).empty(),
                     chart.name() << ": \"" << step.step << "\" is taken by seed " << seed);
@@ -101,24 +102,24 @@
     return found;
 }
 
-void checkCell(const world_maker& make, const taken_at& at, const std::vector<matrix_injection>& injections,
-    const std::string& what)
+void checkCell(const world_maker& make, const transition_site& at,
+    const std::vector<matrix_injection>& injections, const std::string& what)
 {
     const auto world = make(at.seed);
     world->injections = injections;
-    const std::vector<std::string> broken = world->play();
-    for (const std::string& promise : broken)
-        BOOST_ERROR(what << " (seed " << at.seed << ", event " << at.event << "): " << promise);
+    const std::vector<std::string> violations = world->play();
+    for (const std::string& violation : violations)
+        BOOST_ERROR(what << " (seed " << at.seed << ", event " << at.event << "): " << violation);
 }
 
-/// With `bothOrders` each pair of faults is played in both orders, else in one, which alternates from cell to
-/// cell.
+/// Plays each pair of faults in both orders if `bothOrders`, otherwise in one order, which alternates between
+/// cells.
 void checkChart(const std::string& name, const world_maker& make, bool bothOrders)
 {
     const utils::state_chart chart = loadChart(name);
     std::size_t single = 0;
     std::size_t pairs = 0;
-    const std::map<std::string, taken_at> runs = findRuns(chart, make);
+    const std::map<std::string, transition_site> runs = findRuns(chart, make);
     for (const auto& [step, at] : runs) {
         std::vector<matrix_fault> faults;
         for (std::size_t i = 0; i < matrixFaultNames.size(); ++i) {
@@ -148,7 +149,7 @@
               << " cells with one fault, " << pairs << " with two\n";
 }
 
-/// Whether a file of that name stands under tests/auto.
+/// Whether tests/auto contains a source file of that name.
 bool testExists(const std::string& name)
 {
     for (const auto& entry : std::filesystem::recursive_directory_iterator(sourceDirectory + "/tests/auto")) {
@@ -202,7 +203,7 @@
 BOOST_AUTO_TEST_CASE(draft)
 {
     const utils::state_chart chart = loadChart("draft");
-    // Twenty thousand pairs take a minute and a half; LYCHEEFRONT_BOTH_ORDERS=1 plays them all.
+    // Playing all 20,000 pairs takes 90 seconds, so it is done only with LYCHEEFRONT_BOTH_ORDERS set.
     const bool bothOrders = std::getenv("LYCHEEFRONT_BOTH_ORDERS") != nullptr;
     checkChart(
         "draft", [&](unsigned seed) { return std::make_unique<draft_world>(chart, seed); }, bothOrders);
--- a/tests/auto/operations/tst_scenarios.cpp
+++ b/tests/auto/operations/tst_scenarios.cpp
@@ -8,10 +8,9 @@
 #include <string>
 #include <vector>
 
-BOOST_AUTO_TEST_CASE(every_scenario_ends_as_it_says)
+BOOST_AUTO_TEST_CASE(every_scenario_meets_its_expectations)
 {
-    // The files tell what the caller sees, in what order, and why. faultmatrix.yaml is a table, not a
-    // scenario.
+    // Each file lists the events, what the caller sees and why. faultmatrix.yaml is a table, not a scenario.
     std::vector<std::filesystem::path> files;
     for (const auto& entry : std::filesystem::directory_iterator(LYCHEEFRONT_SOURCE_DIR "/tests/scenarios")) {
         if (entry.path().extension() == ".yaml" && entry.path().filename() != "faultmatrix.yaml")
