--- a/tests/auto/operators/scripteddaemon.h
+++ b/tests/auto/operators/scripteddaemon.h
@@ -11,14 +11,15 @@
 #include <utility>
 #include <vector>
 
-/// What a scripted daemon does with one request.
+/// Response of a scripted daemon to one request.
 struct scripted_answer {
     unsigned status = 200;
     std::string body = "{}";
-    bool isDropped = false; ///< reads the request, then closes the connection
+    bool isDropped = false; ///< reads the request, then closes the connection without a response
 };
 
-/// Answers the requests of an operator as scripted, in a thread of its own, then refuses connections.
+/// Answers an operator's requests as scripted, in its own thread, then refuses connections. Listens on a free
+/// loopback port.
 class scripted_daemon {
 public:
     explicit scripted_daemon(std::vector<scripted_answer> script)
@@ -32,8 +33,8 @@
 
     std::string endpoint() const { return "127.0.0.1:" + std::to_string(m_port); }
 
-    std::vector<std::string> targets; ///< read after the daemon has served its script
-    std::vector<std::string> keys;
+    std::vector<std::string> targets; ///< not synchronized; read it only after the script has been served
+    std::vector<std::string> keys; ///< Authorization headers; as `targets`
 
 private:
     void serve(const std::vector<scripted_answer>& script)
--- a/tests/auto/operators/tst_ctl.cpp
+++ b/tests/auto/operators/tst_ctl.cpp
@@ -69,7 +69,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ctl_commands, ctl_fixture)
 
-BOOST_AUTO_TEST_CASE(accepted_change_is_told_with_its_spread)
+BOOST_AUTO_TEST_CASE(accepted_change_is_reported_with_its_spread)
 {
     scripted_daemon daemon({ accepted });
     const run_result result = run("approve", { "press", "counter-app" }, { daemon.endpoint() });
@@ -79,10 +79,10 @@
     BOOST_TEST(daemon.keys.at(0) == "Bearer operator-key");
 }
 
-BOOST_AUTO_TEST_CASE(lost_answer_is_asked_for_at_the_next_daemon_with_the_same_id)
+BOOST_AUTO_TEST_CASE(lost_answer_is_retried_at_the_next_daemon_with_the_same_id)
 {
-    // The first daemon takes the request and dies before it answers. The change may be made. The second
-    // daemon is asked with the same id, finds it, and the operator hears "accepted".
+    // The first daemon reads the request and crashes before it responds, so the change may have been made.
+    // The same change id is sent to the second daemon, which finds the change and reports "accepted".
     scripted_daemon first({ dropped });
     scripted_daemon second({ accepted });
     const run_result result = run("drain", { "engine-1" }, { first.endpoint(), second.endpoint() });
@@ -90,10 +90,10 @@
     BOOST_TEST(changeIdIn(first.targets.at(0)) == changeIdIn(second.targets.at(0)));
 }
 
-BOOST_AUTO_TEST_CASE(lost_answer_and_a_second_daemon_without_the_platform_is_not_called_a_failure)
+BOOST_AUTO_TEST_CASE(lost_answer_and_a_second_daemon_without_the_platform_is_not_reported_as_failure)
 {
-    // The first daemon takes the request and dies; the second cannot reach the platform's service and says
-    // that it has not made the change. That is no word about the first daemon's try.
+    // The first daemon reads the request and crashes; the second cannot reach the platform's service and
+    // reports that it has not made the change. That says nothing about the first daemon's attempt.
     scripted_daemon first({ dropped });
     scripted_daemon second({ platformDown });
     const run_result result = run("drain", { "engine-1" }, { first.endpoint(), second.endpoint() });
@@ -101,7 +101,7 @@
     BOOST_TEST(result.err.find("--change " + changeIdIn(first.targets.at(0))) != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(nobody_reached_means_nothing_changed)
+BOOST_AUTO_TEST_CASE(no_reachable_daemon_means_nothing_changed)
 {
     std::string gone;
     {
@@ -132,7 +132,7 @@
     BOOST_TEST((run("revoke", { "p", "t" }, endpoints).code == exit_code::NotAllowed));
 }
 
-BOOST_AUTO_TEST_CASE(accepted_but_not_in_force_on_a_majority_is_told)
+BOOST_AUTO_TEST_CASE(accepted_but_not_in_force_on_a_majority_is_reported)
 {
     scripted_daemon daemon({ { 200,
         R"({"outcome":"accepted","revision":4,"in_force":{"acknowledged":2,"listed":7,"majority":false}})",
--- a/tests/auto/operators/tst_operatorapi.cpp
+++ b/tests/auto/operators/tst_operatorapi.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// A node of seven, whose neighbours have every accepted revision at once.
+/// A node in a region of seven VMs, of which `acknowledged` have each revision in force at once.
 class fake_view final : public operators::node_view {
 public:
     operators::fleet_status status() override
@@ -83,8 +83,9 @@
 
 BOOST_AUTO_TEST_CASE(wrong_keys_cost_no_call_to_the_platform)
 {
-    // Somebody on the operators' network tries keys as fast as it can. The platform's service takes some
-    // hundred calls a second from the whole fleet; payments would be refused while the keys are tried.
+    // An attacker on the operators' network tries keys at full speed. The platform's service accepts a few
+    // hundred calls per second from the whole fleet, so if each wrong key cost a call, payments would be
+    // refused.
     kv.calls = 0;
     for (int i = 0; i < 100; ++i)
         BOOST_TEST(ask("GET", "/v1/config", "key-" + std::to_string(i)).status == 401u);
@@ -119,7 +120,7 @@
     BOOST_TEST(view.waitedFor == 2u);
     BOOST_TEST(weightNow("events-site") == 3);
 
-    // The same file again names revision 1, but the section is as the file wants it.
+    // The same file still names base revision 1, but the section already has the content of the file.
     BOOST_TEST(ask("POST", "/v1/apply?change=c2", "events-key", yaml).body.at("outcome") == "unchanged");
     yaml.replace(yaml.find("weight: 3"), 9, "weight: 4");
     const answer conflict = ask("POST", "/v1/apply?change=c3", "events-key", yaml);
@@ -141,7 +142,7 @@
         BOOST_TEST(first.at("line").as_int64() == 4);
         BOOST_TEST(first.at("path") == "teams.events-site.usse");
     }
-    // A reference that only the whole document shows to be wrong has its line, too.
+    // A dangling reference, found only in the context of the whole document, is reported with its line, too.
     const std::string dangling = "revision: 1\nteams:\n  events-site:\n    owner: events\n    key_sha256: ["
         + hashOf("team-2") + "]\n    uses: [nowhere]\n";
     const answer refused = ask("POST", "/v1/apply?file=a.yaml", "events-key", dangling);
@@ -163,10 +164,10 @@
     BOOST_TEST(!readAnew()->whole->pools.at(utils::pool_id("theses")).servers.front().isLeaving);
 }
 
-BOOST_AUTO_TEST_CASE(accepted_without_a_majority_says_so)
+BOOST_AUTO_TEST_CASE(acceptance_without_a_majority_is_reported)
 {
-    // The head has moved, but only two of seven VMs have answered in time: the change is accepted all the
-    // same, and the operator must see that it is not yet in force on most nodes.
+    // The head has been updated, but only two of seven VMs have acknowledged it before the timeout. The
+    // change is accepted, and the operator must see that it is not yet in force on a majority.
     view.acknowledged = 2;
     const answer applied = ask("POST", "/v1/drain?server=engine-1", "counter-key");
     BOOST_TEST(applied.body.at("outcome") == "accepted");
@@ -176,8 +177,8 @@
 
 BOOST_AUTO_TEST_CASE(service_down_shows_the_last_known_document_and_refuses_changes)
 {
-    // The platform's service is down. Operators still need to see what is in force; changes are refused as
-    // not made once the time is up.
+    // The platform's service is down. Operators must still see the configuration in force; changes are
+    // refused as not made after the timeout.
     kv.readFaults.assign(2000, kv_fault::NotSent);
     const answer shown = ask("GET", "/v1/config", "admin-key");
     BOOST_TEST(shown.status == 200u);
@@ -187,7 +188,7 @@
     BOOST_TEST(refused.body.at("run") == "not_run");
 }
 
-BOOST_AUTO_TEST_CASE(ambiguous_write_with_the_service_down_is_not_called_a_failure)
+BOOST_AUTO_TEST_CASE(ambiguous_write_with_the_service_down_is_not_reported_as_failure)
 {
     kv.readFaults.assign(2000, kv_fault::NotSent);
     kv.readFaults.front() = kv_fault::None;
--- a/tests/auto/operators/tst_requesttrace.cpp
+++ b/tests/auto/operators/tst_requesttrace.cpp
@@ -17,7 +17,8 @@
 
 BOOST_AUTO_TEST_SUITE(request_trace)
 
-// A payment was cut at its server. The lines come from two files in any order; the attempt decides.
+// The connection to a payment's backend server was cut. The lines come from two files in any order; the line
+// of the failed attempt must be named as the decisive one.
 BOOST_AUTO_TEST_CASE(a_request_that_was_cut_is_explained)
 {
     const auto trace = traceRequest("r1",
@@ -45,7 +46,7 @@
     BOOST_TEST(trace.steps.front().starts_with("  12.5 front-1  request_refused"));
 }
 
-BOOST_AUTO_TEST_CASE(a_second_attempt_that_ended_well_is_told)
+BOOST_AUTO_TEST_CASE(a_successful_second_attempt_is_reported)
 {
     const auto trace = traceRequest("r1",
         { lineOf("32.100",
@@ -55,7 +56,7 @@
     BOOST_TEST(trace.decisive == "answered by i-8 with status 200 after an attempt at i-7 ended: silent");
 }
 
-BOOST_AUTO_TEST_CASE(an_end_that_is_missing_is_said_so)
+BOOST_AUTO_TEST_CASE(a_missing_end_is_reported)
 {
     std::ostringstream out;
     ctl::printTrace(traceRequest("r9", {}), out);
