--- a/src/libs/operations/draft.h
+++ b/src/libs/operations/draft.h
@@ -168,7 +168,7 @@
     unsigned m_slot = 0;
     unsigned m_probes = 0;
     bool m_claimNow = false;
-    bool m_isWriteAmbiguous = false; ///< a write with unknown outcome may still handleEvent effect
+    bool m_isWriteAmbiguous = false; ///< a write with unknown outcome may still take effect
     std::uint64_t m_lastTicket = 0;
     pending m_pending = pending::Nothing;
     std::int64_t m_revision = 0; ///< the record's last known revision
